--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -25,9 +25,9 @@
       std::vector<Candidate> left;
       for (const Candidate& c : waiting) {
         Message& m = s_.messages.at(std::get<uint64_t>(c));
-        if (m.out) continue;  // went along in another message's call
+        if (m.in_flight) continue;  // went along in another message's call
         Destination& d = s_.destinations[m.destination];
-        if (static_cast<int>(s_.calls.size()) >= s_.set.slots) return free_slots();
+        if (static_cast<int>(s_.calls.size()) >= s_.settings.slots) return free_slots();
         if (!bound || d.calls < slot_share(d))
           try_send(m, d, waiting);
         else
@@ -40,46 +40,49 @@
  private:
   // The design's slot share, narrowed while calls run longer than is usual at this destination.
   int slot_share(const Destination& d) const {
-    const double usual = d.usual.seen == 0 ? 1 : std::min(1.0, d.usual.mean / std::max(1e-6, d.latency.mean));
+    const double usual = d.usual_latency.samples == 0
+                             ? 1
+                             : std::min(1.0, d.usual_latency.mean / std::max(1e-6, d.latency.mean));
     const double share = std::max(kSlotShareLeast, kSlotShare * usual);
-    return std::max(1, static_cast<int>(std::ceil(s_.set.slots * share)));
+    return std::max(1, static_cast<int>(std::ceil(s_.settings.slots * share)));
   }
 
   // Messages wait and no slot is free: stop waiting for overdue calls, once such calls proved lost, not slow.
   void free_slots() {
-    if (!s_.set.may_cancel || s_.hope > kHopeLeast) return;
+    if (!s_.settings.may_cancel || s_.late_success_ratio > kMinLateSuccessRatio) return;
     for (auto& [id, attempt] : s_.attempts) {
       const auto message = s_.messages.find(id.first);
       if (attempt.cancelled || message == s_.messages.end()) continue;
-      const Time suspicious = s_.latency_of(s_.hosts[attempt.endpoint]).suspicious();
-      if (seconds(s_.now - attempt.sent) < patience(message->second) * seconds(suspicious)) continue;
+      const Time suspicious = s_.latency_of(s_.hosts[attempt.endpoint]).suspicious_age();
+      if (seconds(s_.now - attempt.sent_at) < patience(message->second) * seconds(suspicious)) continue;
       attempt.cancelled = true;
-      s_.tell(Cancel{id.first, id.second});
+      s_.emit(Cancel{id.first, id.second});
     }
   }
 
   void try_send(Message& m, Destination& d, const std::vector<Candidate>& waiting) {
-    if (m.repeat && d.tokens < kToken) return;
-    if (s_.closing - s_.now < s_.latency_of(d).suspicious()) return;
+    if (m.is_retry && d.retry_budget < kRetryCost) return;
+    if (s_.shutdown_at - s_.now < s_.latency_of(d).suspicious_age()) return;
     Host* host = choose(m, d);
-    if (host == nullptr || !limits_.may_scout(*host)) return;
-    Lane& l = *host->lane;
-    const bool scout = limits_.scouting(l);
+    if (host == nullptr || !limits_.may_send_trial(*host)) return;
+    Circuit& l = *host->circuit;
+    const bool scout = limits_.needs_trial(l);
     const Attempt call{host->member.endpoint, s_.now, ++last_call_, false, scout, connections_.open(*host)};
-    host->sent.add(s_.now);
+    host->send_rate.add(s_.now);
     ++host->calls;
     ++d.calls;
     limits_.charge(l);
     send(m, d, *host, call);
-    if (call.scout) return;  // one message is scout enough
+    if (call.trial) return;  // one message is scout enough
     // What goes to one endpoint in one round may share a call: one slot, one place under the limit, one fate.
     const auto kind = static_cast<size_t>(host->member.kind);
-    int room = kind < s_.set.kinds.size() ? s_.set.kinds[kind].batch - 1 : 0;
+    int room = kind < s_.settings.kinds.size() ? s_.settings.kinds[kind].batch - 1 : 0;
     for (const Candidate& c : waiting) {
       if (room <= 0) return;
       Message& other = s_.messages.at(std::get<uint64_t>(c));
-      if (other.out || other.destination != m.destination) continue;
-      if ((other.repeat && d.tokens < kToken) || messages_.granted(other, *host) > s_.now) continue;
+      if (other.in_flight || other.destination != m.destination) continue;
+      if ((other.is_retry && d.retry_budget < kRetryCost) || messages_.granted(other, *host) > s_.now)
+        continue;
       if (!messages_.may_go(other, *host, messages_.best_way(other, d))) continue;
       send(other, d, *host, call);
       --room;
@@ -90,11 +93,12 @@
     Host* best = nullptr;
     std::pair<int, double> best_cost;
     const Way way = messages_.best_way(m, d);
-    const Lane* lane = nullptr;  // of the host before: most share one
+    const Circuit* lane = nullptr;  // of the host before: most share one
     Time admitted = 0;
     for (const auto& [endpoint, host] : d.hosts) {
       if (!host->ready() || !messages_.may_go(m, *host, way)) continue;
-      if (std::exchange(lane, host->lane) != host->lane) admitted = limits_.admits(*host->lane);
+      if (std::exchange(lane, host->circuit) != host->circuit)
+        admitted = limits_.next_send_at(*host->circuit);
       const Time at = std::max(admitted, messages_.granted(m, *host));
       s_.wake(at);
       if (at > s_.now) continue;
@@ -107,14 +111,14 @@
   }
 
   double cost_of(const Host& host) {
-    const Latency& latency = host.latency.seen > 0 ? host.latency : s_.latency_of(host);
+    const Latency& latency = host.latency.samples > 0 ? host.latency : s_.latency_of(host);
     // The other relays' calls are not seen, but they do as this one does: the same would look best to all.
-    const int unseen = std::max(0, s_.set.relays - kSeen);
-    const double others = unseen > 0 ? unseen * host.sent.per_second(s_.now) * latency.mean : 0;
-    double cost = latency.mean * (1 + 0.5 * (host.calls + others)) / std::max(0.1, host.lane->room);
-    if (host.member.zone != s_.set.zone) cost += kSecondsPerPrice * s_.set.price_cross_zone;
-    if (connections_.needs_new(host)) cost += kSecondsPerPrice * s_.set.price_handshake;
-    if (host.avoid_until > s_.now) cost += seconds(kAvoidMost);
+    const int unseen = std::max(0, s_.settings.relays - kSmallFleet);
+    const double others = unseen > 0 ? unseen * host.send_rate.per_second(s_.now) * latency.mean : 0;
+    double cost = latency.mean * (1 + 0.5 * (host.calls + others)) / std::max(0.1, host.circuit->headroom);
+    if (host.member.zone != s_.settings.zone) cost += kSecondsPerPrice * s_.settings.price_cross_zone;
+    if (connections_.needs_new(host)) cost += kSecondsPerPrice * s_.settings.price_handshake;
+    if (host.avoid_until > s_.now) cost += seconds(kMaxAvoidance);
     return cost;
   }
 
@@ -122,22 +126,22 @@
 
   Time timeout_of(const Message& m, const Destination& d) {
     // No call keeps its slot for the whole life of its message: lost answers would fill the slots one by one.
-    const double longest = std::max(1.0, kTimeoutTimes * seconds(s_.latency_of(d).suspicious()));
+    const double longest = std::max(1.0, kTimeoutTimes * seconds(s_.latency_of(d).suspicious_age()));
     return std::min(m.due - s_.now, micros(patience(m) * longest));
   }
 
   void send(Message& m, Destination& d, const Host& host, const Attempt& attempt) {
-    host.lane->scouts += attempt.scout;
-    if (m.repeat) {
-      d.tokens -= kToken;
-      s_.touch(m.destination);
+    host.circuit->trials_in_flight += attempt.trial;
+    if (m.is_retry) {
+      d.retry_budget -= kRetryCost;
+      s_.mark_changed(m.destination);
     }
     messages_.pay(m, host);
-    m.repeat = false;
-    m.out = true;
+    m.is_retry = false;
+    m.in_flight = true;
     ++s_.calls[attempt.call];
     s_.attempts[{m.id, m.attempts++}] = attempt;
-    s_.tell(Send{m.id, host.member.endpoint, timeout_of(m, d), messages_.last_start(m, d)});
+    s_.emit(Send{m.id, host.member.endpoint, timeout_of(m, d), messages_.last_start(m, d)});
   }
 
   State& s_;
--- a/src/estimates.h
+++ b/src/estimates.h
@@ -1,4 +1,4 @@
-// What the module measures with: time, chance, latencies, rates and paces.
+// Building blocks of the policy's estimates: time units, random numbers, latencies, rates and token buckets.
 #pragma once
 
 #include <algorithm>
@@ -13,16 +13,17 @@
 constexpr Time kSecond = 1000 * kMs;
 constexpr Time kNever = std::numeric_limits<Time>::max();
 
-constexpr double kGain = 0.15;             // weight of a new latency or failure sample
-constexpr Time kFirstLatency = 400 * kMs;  // assumed before anything was measured
-constexpr double kSlowDevs = 6;         // a call older than mean + this many deviations is suspiciously slow
-constexpr Time kSlowLeast = 700 * kMs;  // and at least this old
-constexpr Time kRateMemory = 10 * kSecond;  // memory of the own served rate
+constexpr double kSampleWeight = 0.15;       // of a new sample in a moving average
+constexpr Time kInitialLatency = 400 * kMs;  // assumed until a served call was measured
+// A call is suspiciously slow past mean + kSuspiciousDeviations * deviation, and past kMinSuspiciousAge.
+constexpr double kSuspiciousDeviations = 6;
+constexpr Time kMinSuspiciousAge = 700 * kMs;
+constexpr Time kRateMemory = 10 * kSecond;  // time constant of DecayingRate
 
 inline double seconds(Time t) { return static_cast<double>(t) / 1e6; }
 inline Time micros(double s) { return static_cast<Time>(std::ceil(std::min(s, 1e9) * 1e6)); }
 
-class Random {  // splitmix64: the same numbers everywhere
+class Random {  // splitmix64: the same sequence on every platform, so that runs can be replayed
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
   Time between(Time low, Time high) {
@@ -36,41 +37,46 @@
   uint64_t state_;
 };
 
-// Mean and mean deviation of the time that served calls take, in seconds.
+// Moving averages of the latency of served calls and of its absolute deviation, in seconds.
 struct Latency {
-  double mean = seconds(kFirstLatency);
-  double dev = seconds(kFirstLatency) / 2;
-  int seen = 0;
+  double mean = seconds(kInitialLatency);
+  double deviation = seconds(kInitialLatency) / 2;
+  int samples = 0;
 
   void add(double took) {
-    const double gain = std::max(kGain, 1.0 / ++seen);
-    dev += gain * (std::abs(took - mean) - dev);
-    mean += gain * (took - mean);
+    const double weight = std::max(kSampleWeight, 1.0 / ++samples);
+    deviation += weight * (std::abs(took - mean) - deviation);
+    mean += weight * (took - mean);
+  }
+  // The age past which a call without an answer is suspected to be lost.
+  Time suspicious_age() const {
+    return std::max(kMinSuspiciousAge, micros(mean + kSuspiciousDeviations * deviation));
   }
-  Time suspicious() const { return std::max(kSlowLeast, micros(mean + kSlowDevs * dev)); }
 };
 
-// A rate that forgets: events a second over about the last kRateMemory.
-struct Rate {
+// Exponentially decaying rate: events a second over about the last kRateMemory.
+struct DecayingRate {
   double rate = 0;
-  Time at = 0;
+  Time updated_at = 0;
 
-  double per_second(Time now) const { return rate * std::exp(-seconds(now - at) / seconds(kRateMemory)); }
+  double per_second(Time now) const {
+    return rate * std::exp(-seconds(now - updated_at) / seconds(kRateMemory));
+  }
   void add(Time now) {
     rate = per_second(now) + 1 / seconds(kRateMemory);
-    at = now;
+    updated_at = now;
   }
 };
 
-// Tokens that refill with time; used to pace sends.
-struct Pacer {
+struct TokenBucket {
   double tokens = 0;
-  Time at = 0;
+  Time refilled_at = 0;
 
   void refill(Time now, double rate, double burst) {
-    tokens = std::min(burst, tokens + rate * seconds(now - at));
-    at = now;
+    tokens = std::min(burst, tokens + rate * seconds(now - refilled_at));
+    refilled_at = now;
   }
+  // When the next token is there; refill() first.
   Time ready(Time now, double rate) const {
     return tokens >= 1 ? now : now + std::max<Time>(1, micros((1 - tokens) / std::max(rate, 1e-6)));
   }
--- a/src/limits.h
+++ b/src/limits.h
@@ -1,182 +1,209 @@
-// Limits: how fast this relay sends where a limit holds that all relays share, in an outage, and after it.
+// Limits: how fast this relay sends to a circuit under a limit that all relays share, and around an outage.
 #pragma once
 
 #include "state.h"
 
 namespace firspool::detail {
 
-constexpr double kUsedUp = 0.5;     // a report of a smaller share left says why a call was refused: the limit
-constexpr double kBaseLeast = 1.2;  // calls a second of all relays together, assumed where none was served
-constexpr double kFirstPace = 0.3;  // calls a second: least pace that the first refusal is held against
-constexpr double kLimitCut = 0.7;   // pace after the first refusal above a limit
-constexpr double kAgainCut = 0.5;   // and after each further one with nothing served between
-constexpr double kLimitGain = 0.03;   // regained, as a part of the pace, with each served call
-constexpr double kTight = 0.5;        // with less of a limit left no more than an even part of it is sent,
-constexpr double kTightLeast = 0.75;  // down to this part of that when it is used up
-constexpr double kEase = 1;           // doublings a second, at most, of a pace above that while there is room
-constexpr double kEaseBound = 0.1;    // and while messages wait for it, as in all relays they would
-constexpr double kLowered = 0.8;      // a limit cut to less than this part is heeded before it is used up
-constexpr int kSeen = 10;             // of so few relays each sees by its own calls how busy an endpoint is
-constexpr double kColdMargin = 0.85;  // part of the fail-back budget that is used: counts and clocks differ
-constexpr double kScoutPart = 0.5;    // of that part, left to scouts at least,
-constexpr double kScoutLeast = 1.5;   // and so many of them a second of all relays together
-constexpr double kHolders = 5;  // seconds: holders of messages are counted as of an outage at least this old
-constexpr double kLimitBurst = 0.4;  // seconds of the pace that may go at once
+constexpr double kExhaustedShare = 0.5;  // with less of a limit reported left, a refusal is due to the limit
+constexpr double kMinBaseRate = 1.2;     // calls a second of all relays, assumed where none was served
+constexpr double kMinInitialRate = 0.3;  // calls a second: least rate that the first cut is applied to
+constexpr double kFirstCut = 0.7;        // factor on the rate after the first refusal above a limit
+constexpr double kRepeatedCut = 0.5;     // the same for each further refusal with no served call in between
+constexpr double kRateGain = 0.03;       // growth of the rate with each served call while messages wait
+// With less than kLowRemaining of a limit left, a relay keeps to its even share of it; the closer the limit
+// is to used up, the less of that share, down to kMinEvenFraction.
+constexpr double kLowRemaining = 0.5;
+constexpr double kMinEvenFraction = 0.75;
+constexpr double kMaxDoublings = 1;           // of the rate, a second, while the limit has room
+constexpr double kMaxDoublingsLimited = 0.1;  // the same while messages wait, as they then do in all relays
+constexpr double kLimitDrop = 0.8;  // a limit lowered below this fraction is followed before it is used up
+constexpr int kSmallFleet = 10;     // with no more relays, own calls show each how busy an endpoint is
+constexpr double kRecoveryMargin = 0.85;     // used fraction of the recovery budget: counts and clocks differ
+constexpr double kTrialShare = 0.5;          // least fraction of that budget that trial calls may use
+constexpr double kMinTrialsPerSecond = 1.5;  // of all relays together
+// An outage counts as at least this old where the relays that know of it are estimated. A relay that makes
+// less than one call in this time is a rare caller.
+constexpr double kAwarenessSeconds = 5;
+constexpr double kPacingBurstSeconds = 0.4;  // burst, in seconds of the pacing rate
 
 class Limits {
  public:
   explicit Limits(State& state) : s_(state) {}
 
-  // At random, so that relays which are turned away together do not come back together.
-  Pacer late_start(Time at) { return {0.5 - seconds(s_.random.between(0, kSecond)), at}; }
+  // A random fill level, so that relays which were turned away together do not come back together.
+  TokenBucket random_bucket(Time at) { return {0.5 - seconds(s_.random.between(0, kSecond)), at}; }
 
-  // Of a listed endpoint whose weight holds the limit.
-  void weigh(double limit, Lane& l) const {
-    l.limit = limit;
-    // Many relays started together would use it up before the first of them hears how much is left.
-    if (s_.set.relays <= kSeen || s_.set.report_left < 0 || l.pace != 0) return;
-    l.pace = even_part(limit);
-    if (l.pacer.at == 0) l.pacer = {1, s_.now};
+  // For a listed endpoint whose weight is the limit of its destination.
+  void apply_weight(double limit, Circuit& c) const {
+    c.limit = limit;
+    // Many relays that start together would use the limit up before the first report of it arrives.
+    if (s_.settings.relays <= kSmallFleet || s_.settings.report_left < 0 || c.pacing_rate != 0) return;
+    c.pacing_rate = even_share(limit);
+    if (c.bucket.refilled_at == 0) c.bucket = {1, s_.now};
   }
 
-  // At the end of a wait all relays that were told come back: the random pause keeps them out of step.
-  void wait(Time until, Lane& l) {
-    l.wait_until = std::max(l.wait_until, until + s_.set.tick + s_.random.between(0, kPauseMost));
+  // All relays that were asked to wait come back when the wait ends: a random pause spreads them out.
+  void extend_wait(Time until, Circuit& c) {
+    c.wait_until = std::max(c.wait_until, until + s_.settings.tick + s_.random.between(0, kMaxPause));
   }
 
-  // A limit nearly used up makes its route dearer, so that routes with limits of their own are used evenly.
-  void heed_report(const AttemptEnded& e, Lane& l) {
-    const double limit = reported(e.report, s_.set.report_limit, 0);
-    const double served = limit > 0 ? std::min(1.0, reported(e.report, s_.set.report_left, 1)) : 1;
-    if (limit > 0) follow(limit, served, l);
+  // Updates the limit and the headroom. The headroom is part of a host's cost, so that independent endpoints
+  // are loaded in proportion to their limits.
+  void apply_report(const AttemptEnded& e, Circuit& c) {
+    const double limit = report_value(e.report, s_.settings.report_limit, 0);
+    const double remaining =
+        limit > 0 ? std::min(1.0, report_value(e.report, s_.settings.report_left, 1)) : 1;
+    if (limit > 0) follow_report(limit, remaining, c);
     if (e.outcome != Outcome::kOk && e.outcome != Outcome::kFull) return;
-    l.room += 2 * kGain * ((e.outcome == Outcome::kOk ? served : 0) - l.room);
+    c.headroom += 2 * kSampleWeight * ((e.outcome == Outcome::kOk ? remaining : 0) - c.headroom);
   }
 
-  // Share of the limit that is left, as reported; below 0: no limit is told.
-  double left(const std::vector<float>& report) const {
-    return reported(report, s_.set.report_limit, 0) > 0 ? reported(report, s_.set.report_left, 1) : -1;
+  // Reported share of the limit that is left; below 0: the report names no limit.
+  double reported_remaining(const std::vector<float>& report) const {
+    return report_value(report, s_.settings.report_limit, 0) > 0
+               ? report_value(report, s_.settings.report_left, 1)
+               : -1;
   }
 
-  // Refused above a limit that all relays share: slower than the own demand, and again with each in a row.
-  void narrow(const Attempt& attempt, Lane& l) {
-    if (attempt.sent < l.cut_at || l.steered || l.granted()) return;
-    const bool fresh = l.pace == 0 || l.streak == 0;
-    if (l.pace == 0) l.pace = std::max(1.5 * pooled_rate(l), kFirstPace);
-    l.pace = std::max((fresh ? kLimitCut : kAgainCut) * l.pace, 1 / seconds(s_.longest));
-    if (fresh) l.paced = l.pace;
-    l.cut_at = s_.now;
-    l.pacer = late_start(s_.now);
+  // Refused above a limit that all relays share: goes below the own demand, and further with each refusal in
+  // a row.
+  void on_refused(const Attempt& attempt, Circuit& c) {
+    if (attempt.sent_at < c.rate_cut_at || c.follows_reports || c.paced_by_share()) return;
+    const bool first = c.pacing_rate == 0 || c.unserved_streak == 0;
+    if (c.pacing_rate == 0) c.pacing_rate = std::max(1.5 * estimated_rate(c), kMinInitialRate);
+    c.pacing_rate =
+        std::max((first ? kFirstCut : kRepeatedCut) * c.pacing_rate, 1 / seconds(s_.max_time_to_live));
+    if (first) c.restore_rate = c.pacing_rate;
+    c.rate_cut_at = s_.now;
+    c.bucket = random_bucket(s_.now);
   }
 
-  void served(Lane& l) const {
-    if (!l.steered) l.pace = std::max(l.pace, l.paced);
-    if (l.bound && !l.steered) l.pace += kLimitGain * l.pace;
-    if (l.limit > 0) l.pace = std::min(l.pace, l.limit);
-    l.bound = false;
+  void on_served(Circuit& c) const {
+    if (!c.follows_reports) c.pacing_rate = std::max(c.pacing_rate, c.restore_rate);
+    if (c.rate_limited && !c.follows_reports) c.pacing_rate += kRateGain * c.pacing_rate;
+    if (c.limit > 0) c.pacing_rate = std::min(c.pacing_rate, c.limit);
+    c.rate_limited = false;
   }
 
-  // Own served rate; for a rare caller mostly the even part of the limit, which is worth one call as a prior.
-  double pooled_rate(const Lane& l) const {
-    const double even = std::max(l.limit, kBaseLeast) / s_.set.relays;
+  // Own rate of served calls, with the even share of the limit as a prior worth one call: for a rare caller
+  // the prior dominates.
+  double estimated_rate(const Circuit& c) const {
+    const double even = std::max(c.limit, kMinBaseRate) / s_.settings.relays;
     const double memory = seconds(kRateMemory);
     const double seen = memory * (1 - std::exp(-std::max(1.0, seconds(s_.now - s_.started)) / memory));
-    return std::max(even, (l.served.per_second(s_.now) * memory + 1) / (seen + 1 / even));
-  }
-
-  // Own part of what is served, or of the limit: over all relays no more than the whole, however uneven.
-  double own_part(const Lane& l) const {
-    const double own = l.served.per_second(s_.now);
-    return l.limit > 0 ? (own + l.limit / s_.set.relays) / 2 : own + kBaseLeast / s_.set.relays;
-  }
-
-  bool few() const { return s_.set.relays <= kSeen; }
-  // A rare caller of many sees one failure of an outage, and its repeat's: its calls ask for the end in turn.
-  bool rare(const Lane& l) const { return !few() && pooled_rate(l) * kHolders < 1; }
-  bool scouting(const Lane& l) const { return l.out() || (l.hard > 0 && rare(l)); }
-
-  // When this lane may be sent to; kNever: only after some outcome.
-  Time admits(Lane& l) const {
-    if (l.wait_until > s_.now) return l.wait_until;
-    // Without an answer to the last scout another tells little, and would fill the slots.
-    if (l.scouts > 0 && scouting(l)) return kNever;
-    if (l.out_since != 0) {
-      const double rate = cold_rate(l);
-      l.cold.refill(s_.now, rate, 1);
-      if (l.cold.tokens < 1) return std::min(l.cold.ready(s_.now, rate), s_.now + kSecond);
+    return std::max(even, (c.served_rate.per_second(s_.now) * memory + 1) / (seen + 1 / even));
+  }
+
+  // Own share of the served calls, or of the limit: over all relays these add up to no more than the total,
+  // however uneven the demand is.
+  double own_rate_share(const Circuit& c) const {
+    const double own = c.served_rate.per_second(s_.now);
+    return c.limit > 0 ? (own + c.limit / s_.settings.relays) / 2 : own + kMinBaseRate / s_.settings.relays;
+  }
+
+  bool small_fleet() const { return s_.settings.relays <= kSmallFleet; }
+  // In a large fleet a rare caller sees of an outage only one failed call and its failed retry.
+  bool rare_caller(const Circuit& c) const {
+    return !small_fleet() && estimated_rate(c) * kAwarenessSeconds < 1;
+  }
+  // Whether calls to the circuit are trial calls now. A rare caller takes one failure for an outage.
+  bool needs_trial(const Circuit& c) const { return c.in_outage() || (c.fail_streak > 0 && rare_caller(c)); }
+
+  // When the next call may go to the circuit; kNever: not before an outcome arrives.
+  Time next_send_at(Circuit& c) const {
+    if (c.wait_until > s_.now) return c.wait_until;
+    // While one trial call has no answer, a second one would tell little and could fill the slots.
+    if (c.trials_in_flight > 0 && needs_trial(c)) return kNever;
+    if (c.outage_since != 0) {
+      const double rate = recovery_rate(c);
+      c.recovery_bucket.refill(s_.now, rate, 1);
+      if (c.recovery_bucket.tokens < 1)
+        return std::min(c.recovery_bucket.ready(s_.now, rate), s_.now + kSecond);
     }
-    if (l.own_pace() > 0) {
-      l.pacer.refill(s_.now, l.pace, std::max(1.0, kLimitBurst * l.pace));
-      if (l.pacer.tokens < 1) {
-        l.bound = true;
-        return l.pacer.ready(s_.now, l.pace);
+    if (c.own_pacing_rate() > 0) {
+      c.bucket.refill(s_.now, c.pacing_rate, std::max(1.0, kPacingBurstSeconds * c.pacing_rate));
+      if (c.bucket.tokens < 1) {
+        c.rate_limited = true;
+        return c.bucket.ready(s_.now, c.pacing_rate);
       }
     }
     return s_.now;
   }
 
-  void charge(Lane& l) const {
-    if (l.out_since != 0) l.cold.tokens -= 1;
-    if (l.own_pace() > 0) l.pacer.tokens -= 1;
+  void charge(Circuit& c) const {
+    if (c.outage_since != 0) c.recovery_bucket.tokens -= 1;
+    if (c.own_pacing_rate() > 0) c.bucket.tokens -= 1;
   }
 
-  // Where probes are allowed one goes ahead of each scout; not trusted alone, as it may pass a hang by.
-  bool may_scout(const Host& host) {
-    Lane& l = *host.lane;
-    if (!l.out() || !s_.set.may_probe || std::exchange(l.probe_ok, false)) return true;
-    if (std::exchange(l.probe_out, true)) return false;
-    s_.tell(Probe{host.member.endpoint});
-    charge(l);
+  // In an outage, where probes are allowed, each trial call waits for a successful probe. The probe alone
+  // does not end the outage, as a destination that hangs may still answer it.
+  bool may_send_trial(const Host& host) {
+    Circuit& c = *host.circuit;
+    if (!c.in_outage() || !s_.settings.may_probe || std::exchange(c.probe_succeeded, false)) return true;
+    if (std::exchange(c.probe_in_flight, true)) return false;
+    s_.emit(Probe{host.member.endpoint});
+    charge(c);
     return false;
   }
 
-  void probed(const ProbeEnded& e) {
+  void on_probe_ended(const ProbeEnded& e) {
     const auto it = s_.hosts.find(e.endpoint);
     if (it == s_.hosts.end()) return;
-    it->second.lane->probe_out = false;
-    it->second.lane->probe_ok = e.ok;
+    it->second.circuit->probe_in_flight = false;
+    it->second.circuit->probe_succeeded = e.ok;
   }
 
  private:
-  // Share of the relays that were handed a message for the lane in the outage, and so know of it.
-  double knowing(const Lane& l) const {
-    const Time end = l.back_since == 0 ? s_.now : l.back_since;
-    return std::max(1e-3, 1 - std::exp(-std::max(kHolders, seconds(end - l.out_since)) * l.base));
-  }
-
-  // Own part of what a cold destination takes beside callers that know of no outage. One that is out may be.
-  double cold_rate(const Lane& l) const {
-    const double warm = l.out() ? 0 : seconds(s_.now - l.back_since) / std::max(1e-6, seconds(s_.set.cold));
-    const double capacity = s_.set.start_capacity + (1 - s_.set.start_capacity) * std::clamp(warm, 0.0, 1.0);
-    const double know = knowing(l);
-    const double budget = kColdMargin * s_.set.fall_multiple * capacity;
-    const double least = std::max(kScoutPart * (few() ? 1 : budget) * l.base, kScoutLeast / s_.set.relays);
-    return std::max(l.base * (budget - (1 - know)), l.out() ? least : 0) / know;
-  }
-
-  static double reported(const std::vector<float>& report, int index, double otherwise) {
+  // Estimated fraction of the relays that had a message for the circuit during the outage and so know of it.
+  double aware_fraction(const Circuit& c) const {
+    const Time end = c.recovered_since == 0 ? s_.now : c.recovered_since;
+    return std::max(1e-3,
+                    1 - std::exp(-std::max(kAwarenessSeconds, seconds(end - c.outage_since)) * c.base_rate));
+  }
+
+  // Own share of the calls that a destination takes in an outage and while it warms up. What relays that are
+  // unaware of the outage send is taken off the budget first.
+  double recovery_rate(const Circuit& c) const {
+    const double warmth =
+        c.in_outage() ? 0 : seconds(s_.now - c.recovered_since) / std::max(1e-6, seconds(s_.settings.cold));
+    const double capacity =
+        s_.settings.start_capacity + (1 - s_.settings.start_capacity) * std::clamp(warmth, 0.0, 1.0);
+    const double aware = aware_fraction(c);
+    const double budget = kRecoveryMargin * s_.settings.fall_multiple * capacity;
+    const double min_trials = std::max(kTrialShare * (small_fleet() ? 1 : budget) * c.base_rate,
+                                       kMinTrialsPerSecond / s_.settings.relays);
+    return std::max(c.base_rate * (budget - (1 - aware)), c.in_outage() ? min_trials : 0) / aware;
+  }
+
+  static double report_value(const std::vector<float>& report, int index, double otherwise) {
     const double value = index >= 0 && index < std::ssize(report) ? report[static_cast<size_t>(index)] : -1;
     return std::isfinite(value) && value >= 0 ? value : otherwise;
   }
 
-  double even_part(double limit) const { return std::max(limit / s_.set.relays, 1 / seconds(s_.longest)); }
-
-  // One of many relays is refused late, when others have used the limit up: the share left sets its pace.
-  void follow(double limit, double left, Lane& l) {
-    const double before = std::exchange(l.limit, limit);
-    const Time at = std::exchange(l.reported_at, s_.now);
-    const Time since = at == kNever ? kSecond : s_.now - at;
-    l.steered = s_.set.relays > kSeen;
-    if (!l.steered) return;
-    if (l.pace > 0 && before > 0) l.pace *= limit / before;
-    const double even = even_part(limit);
-    const double most = (kTightLeast + (1 - kTightLeast) * std::min(1.0, left / kTight)) * even;
-    if (left < kTight || (at != kNever && limit < kLowered * before)) {
-      if (l.pace == 0) l.pacer = late_start(s_.now);
-      l.pace = l.pace == 0 ? most : std::min(l.pace, most);
-    } else if (l.pace > 0) {
-      const double ease = (l.bound ? kEaseBound : kEase) * left * seconds(std::min(since, kSecond));
-      l.pace = std::min(limit, std::max(l.pace, even) * std::exp2(ease));
+  double even_share(double limit) const {
+    return std::max(limit / s_.settings.relays, 1 / seconds(s_.max_time_to_live));
+  }
+
+  // In a large fleet a relay is refused too late, when others have used the limit up. Its rate follows the
+  // reported share that is left instead.
+  void follow_report(double limit, double remaining, Circuit& c) {
+    const double before = std::exchange(c.limit, limit);
+    const Time reported_before = std::exchange(c.limit_reported_at, s_.now);
+    const Time since = reported_before == kNever ? kSecond : s_.now - reported_before;
+    c.follows_reports = s_.settings.relays > kSmallFleet;
+    if (!c.follows_reports) return;
+    if (c.pacing_rate > 0 && before > 0) c.pacing_rate *= limit / before;
+    const double even = even_share(limit);
+    const double max_rate =
+        (kMinEvenFraction + (1 - kMinEvenFraction) * std::min(1.0, remaining / kLowRemaining)) * even;
+    if (remaining < kLowRemaining || (reported_before != kNever && limit < kLimitDrop * before)) {
+      if (c.pacing_rate == 0) c.bucket = random_bucket(s_.now);
+      c.pacing_rate = c.pacing_rate == 0 ? max_rate : std::min(c.pacing_rate, max_rate);
+    } else if (c.pacing_rate > 0) {
+      const double doublings = (c.rate_limited ? kMaxDoublingsLimited : kMaxDoublings) * remaining *
+                               seconds(std::min(since, kSecond));
+      c.pacing_rate = std::min(limit, std::max(c.pacing_rate, even) * std::exp2(doublings));
     }
   }
 
--- a/src/messages.h
+++ b/src/messages.h
@@ -26,43 +26,43 @@
     Message& m = it->second;
     if (!m.rules) m.rules = s_.rules[e.message_class];
     m.target = e.due - m.rules->give_up + m.rules->target;
-    m.worth = m.rules->worth * tenant_share(e.tenant);
-    m.repeat = e.attempts > 0;
-    if (m.repeat && e.pause) pause(m);
-    m.resumed_ran = e.ran;
+    m.value = m.rules->worth * tenant_share(e.tenant);
+    m.is_retry = e.attempts > 0;
+    if (m.is_retry && e.pause) pause(m);
+    m.executed_before_restart = e.ran;
     if (e.resumed) {  // relays that restart at once are out of step; an attempt of it failed
-      Lane& l = s_.lane({e.destination, Endpoint{}});
-      l.pacer = {seconds(s_.random.between(0, kSecond)), s_.now};
-      l.hard = std::max(l.hard, std::min(e.attempts, 1));
+      Circuit& l = s_.circuit({e.destination, Endpoint{}});
+      l.bucket = {seconds(s_.random.between(0, kSecond)), s_.now};
+      l.fail_streak = std::max(l.fail_streak, std::min(e.attempts, 1));
     }
     if (m.rules->in_order && e.key != 0) turns_[e.key].push_back(e.id);
-    if (m.rules->in_order && e.ran) key_rests_[e.key] = {s_.now + s_.set.order_pause, e.id};
+    if (m.rules->in_order && e.ran) key_rests_[e.key] = {s_.now + s_.settings.order_pause, e.id};
   }
 
   // Nothing is owed for it any more, but while its call is out it keeps its turn.
   void withdraw(const Withdrawn& e) {
     const auto it = s_.messages.find(e.id);
     if (it == s_.messages.end()) return leave_turn(e.key, e.id);
-    it->second.withdrawn = true;
-    if (!it->second.out) end(it->second);
+    it->second.released = true;
+    if (!it->second.in_flight) end(it->second);
   }
 
   void ended(const AttemptEnded& e, const Attempt& attempt, int zone) {
     const auto found = s_.messages.find(e.id);
     if (found == s_.messages.end()) return;
     Message& m = found->second;
-    m.out = false;
+    m.in_flight = false;
     const bool hanging =
         e.outcome == Outcome::kTimeout || e.outcome == Outcome::kReset || e.outcome == Outcome::kCancelled;
-    if (m.rules->in_order && hanging) key_rests_[m.key] = {s_.now + s_.set.order_pause, e.id};
-    if (e.final || m.withdrawn) return end(m);
+    if (m.rules->in_order && hanging) key_rests_[m.key] = {s_.now + s_.settings.order_pause, e.id};
+    if (e.final || m.released) return end(m);
     if (e.outcome == Outcome::kMoot) return;
     if (e.outcome == Outcome::kUnsent) return unsent(m);
-    m.repeat = true;
+    m.is_retry = true;
     pause(m);
     if (ran_after(e.outcome) == Ran::kNever || m.ran) return;
     m.ran = true;
-    m.ran_sent = attempt.sent;
+    m.ran_sent = attempt.sent_at;
     m.ran_zone = zone;
   }
 
@@ -74,7 +74,7 @@
   bool refusable(const Message& m) const {
     const ClassSettings& c = *m.rules;
     if (c.effect == Effect::kSafe || !m.ran) return true;
-    return !m.resumed_ran && c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll;
+    return !m.executed_before_restart && c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll;
   }
 
   bool untried(const Message& m) const { return m.resumed && m.attempts == 0; }  // a restart owes it one
@@ -91,17 +91,17 @@
     const auto open = [&](const auto& at) { return way(m, at.second->member).allowed; };
     if (!m.ways || d.hosts.empty() || std::ranges::any_of(d.hosts, open)) return 0;
     const auto was = [&](const auto& at) { return m.ways->of(at.first, at.second).allowed; };
-    return std::ranges::any_of(d.known, was) ? kSecond : kNever;
+    return std::ranges::any_of(d.listed_zone_kinds, was) ? kSecond : kNever;
   }
 
   // The way of the lowest rank that can be taken at all, of several the fastest; not allowed: none can.
   Way best_way(const Message& m, const Destination& d) const {
     if (!m.ways) return {};
     Way best{false, 0, -1};
-    const auto speed = [this](const Way& w) { return w.limit < 0 ? 1e9 : s_.limit(w.limit).per_s; };
+    const auto speed = [this](const Way& w) { return w.limit < 0 ? 1e9 : s_.limit_share(w.limit).per_s; };
     for (const auto& [endpoint, host] : d.hosts) {
-      const bool up = host->ready() && !host->lane->out() && host->avoid_until <= s_.now;
-      if (!up || !in_scope(m, host->member) || host->lane->wait_until >= last_start(m, d)) continue;
+      const bool up = host->ready() && !host->circuit->in_outage() && host->avoid_until <= s_.now;
+      if (!up || !in_scope(m, host->member) || host->circuit->wait_until >= last_start(m, d)) continue;
       const Way w = way(m, host->member);
       if (!best.allowed || std::pair(w.rank, -speed(w)) < std::pair(best.rank, -speed(best))) best = w;
     }
@@ -118,13 +118,13 @@
   // When the parts that an attempt pays out of let it go.
   Time granted(const Message& m, const Host& host) const {
     const int limit = way(m, host.member).limit;
-    const Time at = host.lane->part->held() ? host.lane->part->ready(s_.now) : s_.now;
-    return limit < 0 ? at : std::max(at, s_.limit(limit).ready(s_.now));
+    const Time at = host.circuit->share->has_grant() ? host.circuit->share->ready(s_.now) : s_.now;
+    return limit < 0 ? at : std::max(at, s_.limit_share(limit).ready(s_.now));
   }
   void pay(const Message& m, const Host& host) const {
     const int limit = way(m, host.member).limit;
-    if (limit >= 0) s_.limit(limit).tokens -= 1;
-    if (host.lane->part->held()) host.lane->part->tokens -= 1;
+    if (limit >= 0) s_.limit_share(limit).tokens -= 1;
+    if (host.circuit->share->has_grant()) host.circuit->share->tokens -= 1;
   }
 
   // A keyed message that may have run stays with the endpoints that remember its key.
@@ -136,21 +136,22 @@
 
   // From then on too little is left for the usual answer, or the destination may have forgotten the key.
   Time last_start(const Message& m, const Destination& d) const {
-    Time at = m.due - 2 * s_.set.tick;
-    const double soonest = std::max(0.0, d.usual.mean - kUsualDevs * d.usual.dev);
-    if (d.usual.seen >= kUsualSeen) at = std::min(at, m.due - micros(soonest));
+    Time at = m.due - 2 * s_.settings.tick;
+    const double soonest = std::max(0.0, d.usual_latency.mean - kUsualDevs * d.usual_latency.deviation);
+    if (d.usual_latency.samples >= kUsualSeen) at = std::min(at, m.due - micros(soonest));
     if (!m.ran || m.rules->effect != Effect::kKeyed) return at;
-    const Time margin = s_.set.tick + kWindowMargin + s_.set.write_delay;
+    const Time margin = s_.settings.tick + kWindowMargin + s_.settings.write_delay;
     return std::min(at, m.ran_sent + m.rules->key_window - margin);
   }
 
   double worth_at(const Message& m, Time at) const {
     const ClassSettings& c = *m.rules;
-    if (at <= m.target) return m.worth;
+    if (at <= m.target) return m.value;
     if (at >= m.due) return 0;
     const double late = seconds(at - m.target);
-    if (s_.set.late_by_halves) return m.worth * std::max(c.late_worth, std::exp2(-late / seconds(c.target)));
-    return m.worth * (1 - (1 - c.late_worth) * late / std::max(1e-6, seconds(m.due - m.target)));
+    if (s_.settings.late_by_halves)
+      return m.value * std::max(c.late_worth, std::exp2(-late / seconds(c.target)));
+    return m.value * (1 - (1 - c.late_worth) * late / std::max(1e-6, seconds(m.due - m.target)));
   }
 
   // Those that may go now, in the order in which they should.
@@ -158,7 +159,7 @@
     std::erase_if(key_rests_, [this](const auto& rest) { return rest.second.first <= s_.now; });
     std::vector<Candidate> list;
     for (const auto& [id, m] : s_.messages) {
-      if (m.out) continue;
+      if (m.in_flight) continue;
       s_.wake(m.not_before);
       if (m.not_before > s_.now) continue;
       const auto d = s_.destinations.find(m.destination);
@@ -182,17 +183,18 @@
     pause(m);
   }
 
-  void pause(Message& m) { m.not_before = s_.now + s_.random.between(kPauseLeast, kPauseMost); }
+  void pause(Message& m) { m.not_before = s_.now + s_.random.between(kPauseLeast, kMaxPause); }
 
   // What a tenant sends beyond its quota is worth little. A part that was not granted is taken as even.
   double tenant_share(int tenant) {
-    if (tenant < 0 || tenant >= static_cast<int>(s_.set.tenants.size())) return 1;
-    const Part& part = s_.parts[{Granted::Of::kTenant, tenant}];
-    const double quota = part.held() ? part.per_s : s_.set.tenants[tenant].quota_per_s / s_.set.relays;
-    if (quota <= 0) return part.held() ? s_.set.over_share_worth : 1;
-    Pacer& pacer = s_.tenant_pacers.try_emplace(tenant, Pacer{2 * quota, s_.now}).first->second;
+    if (tenant < 0 || tenant >= static_cast<int>(s_.settings.tenants.size())) return 1;
+    const BudgetShare& part = s_.shares[{Granted::Of::kTenant, tenant}];
+    const double quota =
+        part.has_grant() ? part.per_s : s_.settings.tenants[tenant].quota_per_s / s_.settings.relays;
+    if (quota <= 0) return part.has_grant() ? s_.settings.over_share_worth : 1;
+    TokenBucket& pacer = s_.tenant_buckets.try_emplace(tenant, TokenBucket{2 * quota, s_.now}).first->second;
     pacer.refill(s_.now, quota, std::max(1.0, 2 * quota));
-    if (pacer.tokens < 1) return s_.set.over_share_worth;
+    if (pacer.tokens < 1) return s_.settings.over_share_worth;
     pacer.tokens -= 1;
     return 1;
   }
--- a/src/outages.h
+++ b/src/outages.h
@@ -1,140 +1,145 @@
-// Outages: when a destination is held to be out, back and cold, or warm; and what a restart keeps of that.
+// Outages: detects when a circuit is in outage and when it recovers, and snapshots that for a restart.
 #pragma once
 
 #include "limits.h"
 
 namespace firspool::detail {
 
-constexpr int kOverdue = 2;      // so many overdue calls, with nothing served since, make a hang
-constexpr int kDeadStreak = 3;   // so many failures in a row, over at least kDeadSpan, prove an outage
-constexpr int kAgainStreak = 2;  // and so many, after a return, that it was none
-constexpr Time kDeadSpan = 800 * kMs;
-constexpr int kShutStreak = 3;
-constexpr Time kShutSpan = 2500 * kMs;  // refusals alone must last longer: spans of a limit are shorter
+constexpr int kHangOverdueCalls = 2;  // overdue calls, with none served since, that are taken for a hang
+constexpr int kOutageFailures = 3;    // failures in a row, over at least kMinFailureSpan, that show an outage
+constexpr int kRelapseFailures = 2;   // failures in a row after a recovery that show that it did not last
+constexpr Time kMinFailureSpan = 800 * kMs;
+constexpr int kOutageUnserved = 3;  // calls in a row, refused or failed, that show one over kMinUnservedSpan
+// Refusals alone must last longer than failures: a limit refuses calls too, but for shorter spans.
+constexpr Time kMinUnservedSpan = 2500 * kMs;
 
 class Outages {
  public:
   Outages(State& state, const Limits& limits) : s_(state), limits_(limits) {}
 
-  void recall(const DestinationMemory& e) {
+  void restore(const DestinationMemory& e) {
     Destination& d = s_.destinations[e.destination];
-    d.tokens = std::clamp(e.tokens, 0, kBucketCap);
-    d.remembered = e;
+    d.retry_budget = std::clamp(e.tokens, 0, kRetryBudgetCap);
+    d.saved = e;
     if (e.out_since == 0) return;
-    Lane& l = s_.lane({e.destination, Endpoint{}});
-    l.out_since = e.out_since;
-    l.back_since = e.back_since;
-    l.base = e.base;
-    l.cold = {seconds(s_.random.between(0, kSecond)), s_.now};
-    s_.turned(e.destination);
-    watch(l);
+    Circuit& c = s_.circuit({e.destination, Endpoint{}});
+    c.outage_since = e.out_since;
+    c.recovered_since = e.back_since;
+    c.base_rate = e.base;
+    c.recovery_bucket = {seconds(s_.random.between(0, kSecond)), s_.now};
+    s_.outage_changed(e.destination);
+    watch(c);
   }
 
-  void remember() {
-    for (const int number : std::exchange(s_.touched, {})) {
+  void save_snapshots() {
+    for (const int number : std::exchange(s_.changed_destinations, {})) {
       Destination& d = s_.destinations[number];
-      DestinationMemory next{number, d.tokens - d.tokens % kToken};
-      const Lane& l = s_.lane({number, Endpoint{}});
-      if (l.out_since != 0) next = {number, next.tokens, l.out_since, l.back_since, l.base};
-      if (next != std::exchange(d.remembered, next)) s_.tell(Remember{next});
+      // The retry budget is rounded down to whole retries, so that not every served call stores a snapshot.
+      DestinationMemory next{number, d.retry_budget - d.retry_budget % kRetryCost};
+      const Circuit& c = s_.circuit({number, Endpoint{}});
+      if (c.outage_since != 0) next = {number, next.tokens, c.outage_since, c.recovered_since, c.base_rate};
+      if (next != std::exchange(d.saved, next)) s_.emit(Remember{next});
     }
   }
 
-  void served(const Attempt& attempt, Lane& l) {
-    l.served.add(s_.now);
-    l.last_served_sent = std::max(l.last_served_sent, attempt.sent);
-    l.streak = l.hard = 0;
-    l.probe_ok = false;
-    if (l.out_since == 0) return;
-    if (l.suspected && attempt.sent <= l.out_since) {  // the overdue calls were only slow
-      log(l, "only slow");
-      l.out_since = 0;
-      s_.turned(l.key.first);
-    } else if (l.back_since == 0 && attempt.sent > l.out_since) {
-      l.back_since = s_.now;
-      s_.turned(l.key.first);
-      l.suspected = false;
-      log(l, "back, cold");
+  void on_served(const Attempt& attempt, Circuit& c) {
+    c.served_rate.add(s_.now);
+    c.last_served_sent_at = std::max(c.last_served_sent_at, attempt.sent_at);
+    c.unserved_streak = c.fail_streak = 0;
+    c.probe_succeeded = false;
+    if (c.outage_since == 0) return;
+    if (c.suspected && attempt.sent_at <= c.outage_since) {  // the overdue calls were only slow
+      log(c, "outage ruled out, calls were only slow");
+      c.outage_since = 0;
+      s_.outage_changed(c.key.first);
+    } else if (c.recovered_since == 0 && attempt.sent_at > c.outage_since) {
+      c.recovered_since = s_.now;
+      s_.outage_changed(c.key.first);
+      c.suspected = false;
+      log(c, "recovered, warming up");
     }
   }
 
-  void unserved(const Attempt& attempt, Lane& l, bool hard, Time told) {
-    watch(l);
-    // A call sent later was served: this one was lost, or its endpoint is bad, but the destination is up.
-    if (attempt.sent < l.last_served_sent) return;
-    if (l.streak++ == 0 || l.streak_since == kNever) l.streak_since = attempt.sent;
-    l.hard = hard ? l.hard + 1 : 0;
-    if (l.hard == 1) l.hard_since = attempt.sent;
-    // A rare caller's repeat is all the evidence that it gets: it goes beside the pace, and proves enough.
-    if (l.hard == 1 && limits_.rare(l)) l.pacer.tokens = std::max(l.pacer.tokens, 1.0);
-    if (l.hard > 0 && attempt.scout) l.overdue = kOverdue;
-    if (hard) l.suspected = false;
-    // Failures after the return start the ramp again; answers to calls from before it tell nothing new.
-    if (l.back_since != 0 && l.hard >= kAgainStreak && attempt.sent > l.back_since) {
-      l.back_since = 0;
-      s_.turned(l.key.first);
-      log(l, "fails again");
+  // failed: the call counts as a failure; otherwise as a refusal.
+  void on_unserved(const Attempt& attempt, Circuit& c, bool failed, Time retry_after) {
+    watch(c);
+    // A call sent later was served: this one was lost or its endpoint is bad, but the destination is up.
+    if (attempt.sent_at < c.last_served_sent_at) return;
+    if (c.unserved_streak++ == 0 || c.unserved_since == kNever) c.unserved_since = attempt.sent_at;
+    c.fail_streak = failed ? c.fail_streak + 1 : 0;
+    if (c.fail_streak == 1) c.failing_since = attempt.sent_at;
+    // A rare caller's retry is the only further evidence that it gets: a free token lets it go at once.
+    if (c.fail_streak == 1 && limits_.rare_caller(c)) c.bucket.tokens = std::max(c.bucket.tokens, 1.0);
+    if (c.fail_streak > 0 && attempt.trial) c.overdue = kHangOverdueCalls;
+    if (failed) c.suspected = false;
+    // Failures after the recovery start the outage again. Calls sent before it carry no new information.
+    if (c.recovered_since != 0 && c.fail_streak >= kRelapseFailures && attempt.sent_at > c.recovered_since) {
+      c.recovered_since = 0;
+      s_.outage_changed(c.key.first);
+      log(c, "calls fail again after the recovery");
     }
-    // A wait longer than a limit's span tells when a shut destination opens: its return begins there.
-    if (told > kShutSpan && l.out_since == 0) {
-      go_out(l, "told to wait long", false);
-      l.back_since = l.cold.at = l.wait_until;
+    // A wait longer than the spans of a limit says when a closed destination opens: its recovery starts then.
+    if (retry_after > kMinUnservedSpan && c.outage_since == 0) {
+      begin_outage(c, "long retry-after received", false);
+      c.recovered_since = c.recovery_bucket.refilled_at = c.wait_until;
     }
   }
 
-  // A hang gives no outcomes: calls past the suspicious age, with nothing served since, are evidence too.
-  void assess() {
+  // A hang produces no outcomes, so calls past the suspicious age with none served since are evidence too.
+  void check() {
     for (const auto& [id, attempt] : s_.attempts) {
       const Host& host = s_.hosts[attempt.endpoint];
-      const Time suspicious = attempt.sent + s_.latency_of(host).suspicious();
-      Lane& l = *host.lane;
-      if (l.served.at > attempt.sent) continue;
-      s_.wake(suspicious);
-      if (s_.now < suspicious) continue;
-      l.overdue += attempt.scout ? kOverdue : 1;
-      watch(l);
+      const Time suspicious_at = attempt.sent_at + s_.latency_of(host).suspicious_age();
+      Circuit& c = *host.circuit;
+      if (c.served_rate.updated_at > attempt.sent_at) continue;
+      s_.wake(suspicious_at);
+      if (s_.now < suspicious_at) continue;
+      c.overdue += attempt.trial ? kHangOverdueCalls : 1;
+      watch(c);
     }
-    std::erase_if(watched_, [this](const auto& entry) { return !judge(*entry.second); });
+    std::erase_if(watched_, [this](const auto& entry) { return !update(*entry.second); });
   }
 
  private:
-  void watch(Lane& l) { watched_[l.key] = &l; }
+  void watch(Circuit& c) { watched_[c.key] = &c; }
 
-  bool judge(Lane& l) {  // whether it is to be watched on
-    const int overdue = std::exchange(l.overdue, 0);
-    if (l.out_since != 0) {
-      if (l.out() || s_.now - l.back_since < s_.set.cold) return true;
-      log(l, "warm");
-      l.out_since = 0;
-      s_.turned(l.key.first);
+  // Moves the circuit into an outage or out of its warm-up; returns whether to keep watching it.
+  bool update(Circuit& c) {
+    const int overdue = std::exchange(c.overdue, 0);
+    if (c.outage_since != 0) {
+      if (c.in_outage() || s_.now - c.recovered_since < s_.settings.cold) return true;
+      log(c, "warmed up");
+      c.outage_since = 0;
+      s_.outage_changed(c.key.first);
       return true;
     }
-    const bool dead = l.hard >= kDeadStreak && s_.now - l.hard_since >= kDeadSpan;
-    const bool shut = l.streak >= kShutStreak && l.streak_since <= s_.now - kShutSpan;
-    const char* evidence = dead ? "calls fail" : shut ? "all refused" : "calls overdue";
-    if (dead || shut || overdue >= kOverdue) go_out(l, evidence, !dead && !shut);
-    return l.streak != 0 || overdue != 0;
+    const bool failing = c.fail_streak >= kOutageFailures && s_.now - c.failing_since >= kMinFailureSpan;
+    const bool unserved =
+        c.unserved_streak >= kOutageUnserved && c.unserved_since <= s_.now - kMinUnservedSpan;
+    const char* evidence = failing ? "calls fail" : unserved ? "no call served" : "calls overdue";
+    if (failing || unserved || overdue >= kHangOverdueCalls) begin_outage(c, evidence, !failing && !unserved);
+    return c.unserved_streak != 0 || overdue != 0;
   }
 
-  void go_out(Lane& l, const char* evidence, bool suspected) {
-    l.base = limits_.few() ? limits_.pooled_rate(l) : limits_.own_part(l);
-    l.out_since = s_.now;
-    l.back_since = l.unconnected = 0;
-    l.suspected = suspected;
-    l.cold = {seconds(s_.random.between(0, kSecond)), s_.now};
-    l.probe_ok = false;
-    s_.turned(l.key.first);
-    log(l, std::string("outage, ") + evidence +
-               "; served before: " + std::to_string(std::lround(60 * l.base)) + " a minute");
+  void begin_outage(Circuit& c, const char* evidence, bool suspected) {
+    c.base_rate = limits_.small_fleet() ? limits_.estimated_rate(c) : limits_.own_rate_share(c);
+    c.outage_since = s_.now;
+    c.recovered_since = c.connect_failures = 0;
+    c.suspected = suspected;
+    c.recovery_bucket = {seconds(s_.random.between(0, kSecond)), s_.now};
+    c.probe_succeeded = false;
+    s_.outage_changed(c.key.first);
+    log(c, std::string("outage, ") + evidence +
+               "; served before: " + std::to_string(std::lround(60 * c.base_rate)) + " calls per minute");
   }
 
-  void log(const Lane& l, const std::string& what) {
-    s_.tell(Log{"destination " + std::to_string(l.key.first) + ": " + what});
+  void log(const Circuit& c, const std::string& text) {
+    s_.emit(Log{"destination " + std::to_string(c.key.first) + ": " + text});
   }
 
   State& s_;
   const Limits& limits_;
-  std::map<LaneKey, Lane*> watched_;  // in an outage, or with calls failed or overdue: judged in each step
+  std::map<CircuitKey, Circuit*> watched_;  // in an outage, or with unserved or overdue calls
 };
 
 }  // namespace firspool::detail
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,4 @@
-// What the module keeps of messages, hosts and destinations: shared by the parts that decide with it.
+// State of the policy: messages, hosts, destinations and circuits, shared by the parts that decide with it.
 #pragma once
 
 #include <map>
@@ -12,177 +12,187 @@
 
 namespace firspool::detail {
 
-// Retry bucket: a served call earns a tenth, so repeats stay under a tenth when failures are common.
-constexpr int kToken = 10;               // in parts; a served call earns one
-constexpr int kBucketCap = 10 * kToken;  // full at the start: short troubles are ridden out by N retries
+// Retry budget, in units: a served call earns one and a retry costs kRetryCost, so retries stay under a tenth
+// of the calls when failures are common.
+constexpr int kRetryCost = 10;
+constexpr int kRetryBudgetCap = 10 * kRetryCost;  // full at the start: ten retries for a short failure
 
-constexpr Time kPauseMost = 250 * kMs;  // of the random pauses that keep relays and repeats out of step
-constexpr double kHopeLeast = 0.35;     // a smaller share than this is not waited for when slots are short
+constexpr Time kMaxPause = 250 * kMs;  // of the random pauses that keep relays and retries out of step
+constexpr double kMinLateSuccessRatio = 0.35;  // below it overdue calls are cancelled when slots are short
 
-// What the fleet granted of a whole. The bucket begins empty: no part is spent twice by moving.
-struct Part : Pacer {
+// The share of a capacity that the fleet granted to this relay. Its bucket starts empty, so that moving
+// capacity from one relay to another never lets both spend it.
+struct BudgetShare : TokenBucket {
   double per_s = -1;  // below 0: nothing was granted
   double burst = 0;
 
-  bool held() const { return per_s >= 0; }
+  bool has_grant() const { return per_s >= 0; }
   void grant(const Granted& e, Time now) {
     refill(now, std::max(0.0, per_s), burst);  // by the old rate until now
     per_s = e.per_s;
     burst = per_s > 0 ? std::max(1.0, per_s * e.burst_s) : 0;
   }
-  double owed() const { return per_s > 0 ? std::max(0.0, 1 - tokens) : 0; }
+  // Tokens that are missing until the next call may go.
+  double deficit() const { return per_s > 0 ? std::max(0.0, 1 - tokens) : 0; }
   Time ready(Time now) {
     if (per_s <= 0) return kNever;
     refill(now, per_s, burst);
-    return Pacer::ready(now, per_s);
+    return TokenBucket::ready(now, per_s);
   }
 };
 
 struct Attempt {
   Endpoint endpoint;
-  Time sent = 0;
-  uint64_t call = 0;
-  bool cancelled = false, scout = false;  // scout: sent to find an outage, or its end
-  Time idle = 0;                          // how long its connection had been idle; 0: fresh or busy
+  Time sent_at = 0;
+  uint64_t call = 0;                      // number of the call; the messages of a batch share it
+  bool cancelled = false, trial = false;  // trial: tests whether a circuit is, or still is, in outage
+  Time connection_idle = 0;  // how long its connection had been idle; 0: a new connection, or one in use
 };
 
-struct Message : Arrival {  // its attempts, and whether one may have run, are counted on from its arrival
-  Time target = 0, not_before = 0;  // target: until then it earns its full worth
-  double worth = 0;
-  bool out = false, withdrawn = false;
-  bool repeat = false;       // the next send pays a token
-  bool resumed_ran = false;  // before a restart, by a lost outcome: a client's retry might outlast its key
+struct Message : Arrival {          // its inherited attempts and execution state are updated later
+  Time target = 0, not_before = 0;  // target: the message keeps its full value until then
+  double value = 0;
+  bool in_flight = false, released = false;
+  bool is_retry = false;  // the next send is charged to the retry budget
+  // An attempt whose outcome a restart lost may have executed: a client's retry could come only after the
+  // destination has forgotten its key.
+  bool executed_before_restart = false;
 };
 
-// What the rules tie to a destination: all its endpoints, or one where routes are apart.
-using LaneKey = std::pair<int, Endpoint>;  // a destination; and an endpoint where routes are apart
-
-struct Lane {
-  LaneKey key;
-  Part* part = nullptr;  // of the destination: all its routes share it
-  Time wait_until = 0;
-  double limit = 0;  // calls a second from all relays together; 0: unknown or none
-  double pace = 0;   // own sends a second at most; 0: never refused
-  double paced = 0;  // pace that a served call restores: one cut below that before the refusals in a row
-  Time cut_at = 0;   // when the pace was last cut; calls sent before tell nothing new
-  Time reported_at = kNever;  // when the limit was last told
-  bool steered = false;       // the pace follows what is reported of the limit, not the own refusals
-  bool reachable = false;     // an endpoint of it is listed as ready
-  Pacer pacer, cold;
-  double room = 1;         // mean share of the limit that is left, as reported or from refusals
-  bool bound = false;      // a message waited for the pace since the last served call
-  int streak = 0;          // calls in a row that were not served
-  int unconnected = 0;     // calls that got no connection since one was served
-  int overdue = 0;         // calls out past the suspicious age, with nothing served since
-  int hard = 0;            // the last of these that were failures; a refusal between shows that it lives
-  Time streak_since = 0;   // when the first that no limit explains was sent
-  Time hard_since = 0;     // and the first of those failures
-  Time out_since = 0;      // 0: no outage
-  bool suspected = false;  // the outage rests on overdue calls alone
-  Time back_since = 0;     // first served call after the outage; 0: still out
-  double base = 0;         // own served rate before it
-  int scouts = 0;          // out now
-  Time last_served_sent = std::numeric_limits<Time>::min();  // when the youngest served call was sent
-  bool probe_out = false, probe_ok = false;
-  Rate served;
-
-  // A part takes the place of the pace; where routes are apart each has its own beside it.
-  bool granted() const { return part->held() && key.second == Endpoint{}; }
-  double own_pace() const { return granted() ? 0 : pace; }
-  bool out() const { return out_since != 0 && back_since == 0; }
+// A destination, and an endpoint of it where the kind's endpoints are independent (else Endpoint{}).
+using CircuitKey = std::pair<int, Endpoint>;
+
+// Rate limit and outage state (circuit breaker) of a destination or of one independent endpoint.
+struct Circuit {
+  CircuitKey key;
+  BudgetShare* share = nullptr;  // of the destination: all its circuits use the same one
+  Time wait_until = 0;           // end of the longest wait that the endpoint asked for
+  double limit = 0;              // calls a second of all relays together; 0: unknown or none
+  double pacing_rate = 0;        // own sends a second at most; 0: unlimited, as nothing was refused yet
+  double restore_rate = 0;       // a served call restores this rate, set by the first of a series of refusals
+  Time rate_cut_at = 0;  // last cut of the rate; refusals of calls sent before it carry no new information
+  Time limit_reported_at = kNever;
+  bool follows_reports = false;  // pacing_rate is set by reports on the limit, not by own refusals
+  bool reachable = false;        // at least one of its endpoints is listed as ready
+  TokenBucket bucket;            // paces sends by pacing_rate
+  TokenBucket recovery_bucket;   // paces sends during an outage and while warming up after it
+  double headroom = 1;           // mean unused share of the limit, from reports or from refusals
+  bool rate_limited = false;     // a message waited for pacing_rate since the last served call
+  int unserved_streak = 0;       // calls in a row that were refused or failed
+  int connect_failures = 0;      // calls that got no connection since the last served one
+  int overdue = 0;          // calls in flight past the suspicious age with none served since, in this step
+  int fail_streak = 0;      // calls in a row that failed; a refusal ends the row, as it shows a live endpoint
+  Time unserved_since = 0;  // send time of the first unserved call that no limit explains
+  Time failing_since = 0;   // send time of the first call of fail_streak
+  Time outage_since = 0;    // 0: no outage
+  bool suspected = false;   // the outage was inferred from overdue calls alone
+  Time recovered_since = 0;  // first served call after the outage, or end of a long wait; 0: still in outage
+  double base_rate = 0;      // own rate of served calls before the outage
+  int trials_in_flight = 0;
+  Time last_served_sent_at = std::numeric_limits<Time>::min();  // latest send time among served calls
+  bool probe_in_flight = false, probe_succeeded = false;
+  DecayingRate served_rate;
+
+  // A granted share replaces the pacing rate; independent endpoints keep their own rate beside it.
+  bool paced_by_share() const { return share->has_grant() && key.second == Endpoint{}; }
+  double own_pacing_rate() const { return paced_by_share() ? 0 : pacing_rate; }
+  bool in_outage() const { return outage_since != 0 && recovered_since == 0; }
 };
 
 struct Host {
   Member member;
-  Lane* lane = nullptr;
-  int calls = 0, conns = 0, fails = 0;
+  Circuit* circuit = nullptr;
+  int calls = 0, connections = 0, fails = 0;  // calls: in flight; fails: in a row
   Time last_used = 0, avoid_until = 0;
   Latency latency;
-  Rate sent;  // own calls
+  DecayingRate send_rate;  // of this relay's calls
 
   bool ready() const { return member.listing == Listing::kReady; }
-  bool gone() const { return member.listing == Listing::kGone; }  // forgotten once no call is out
+  bool gone() const { return member.listing == Listing::kGone; }  // erased once no call to it is in flight
 };
 
-// What is alike among destinations of a kind: the prior for one that this relay seldom calls.
-struct Kind {
+// Estimates over all destinations of a kind: the prior for a destination that this relay seldom calls.
+struct KindEstimates {
   Latency latency;
-  double unconnected = 0;  // share of calls that got no connection; falls slowly
+  double connect_failure_ratio = 0;  // rises fast and falls slowly
 };
 
 struct Destination {
   std::map<Endpoint, Host*> hosts;
-  Time open = 0;  // told waits hold all its hosts until then
-  int kind = 0, calls = 0;
-  std::set<std::pair<int, int>> known;  // zones and kinds that were ever listed
-  int tokens = kBucketCap;              // in parts
-  DestinationMemory remembered{0, kBucketCap};
-  Latency latency, usual;  // usual: the pace without outliers, against which the slot share narrows
+  Time open_at = 0;         // until then every host is held by a wait that it asked for
+  int kind = 0, calls = 0;  // calls: in flight
+  std::set<std::pair<int, int>> listed_zone_kinds;  // every zone and kind of an endpoint ever listed
+  int retry_budget = kRetryBudgetCap;               // in units, see kRetryCost
+  DestinationMemory saved{0, kRetryBudgetCap};      // what the caller was last told to store
+  Latency latency, usual_latency;  // usual_latency: without outliers, the reference for the slot share
 };
 
-// What all parts share. In a step each reads the time here, and says here what is done and when to come back.
+// State that all parts of the policy share during a step: inputs, the output, and when the next step is due.
 struct State {
-  State(const Settings& settings, uint64_t seed) : random(seed) { retune(settings); }
+  State(const Settings& initial, uint64_t seed) : random(seed) { apply_settings(initial); }
 
-  // Where the numbers of tenants or kinds shift, what is kept by them starts anew; the list is told again.
-  void retune(const Settings& next) {
-    if (next.classes.empty()) throw std::invalid_argument("settings hold no class");
+  // Where the indices of tenants or kinds change, the state kept by index is dropped. The caller must repeat
+  // the list of members.
+  void apply_settings(const Settings& next) {
+    if (next.classes.empty()) throw std::invalid_argument("settings define no message class");
     const auto same = [](const auto& a, const auto& b) { return a.name == b.name; };
-    if (!std::ranges::equal(set.tenants, next.tenants, same)) {
-      tenant_pacers.clear();
-      std::erase_if(parts, [](const auto& entry) { return entry.first.first == Granted::Of::kTenant; });
+    if (!std::ranges::equal(settings.tenants, next.tenants, same)) {
+      tenant_buckets.clear();
+      std::erase_if(shares, [](const auto& entry) { return entry.first.first == Granted::Of::kTenant; });
     }
-    if (!std::ranges::equal(set.kinds, next.kinds, same)) kinds.clear();
-    set = next;
-    rules = message_rules(set);
-    longest = kSecond;
-    for (const ClassSettings& c : set.classes) longest = std::max(longest, c.give_up);
+    if (!std::ranges::equal(settings.kinds, next.kinds, same)) kinds.clear();
+    settings = next;
+    rules = message_rules(settings);
+    max_time_to_live = kSecond;
+    for (const ClassSettings& c : settings.classes) max_time_to_live = std::max(max_time_to_live, c.give_up);
   }
 
-  void tell(Action action) { out->push_back(std::move(action)); }
-  // What is remembered of a destination may be another now.
-  void touch(int destination) { touched.insert(destination); }
-  // A destination went out or came back: its endpoints are avoided, or are not any more.
-  void turned(int destination) {
-    touch(destination);
-    avoided_counted = false;
+  void emit(Action action) { actions->push_back(std::move(action)); }
+  // The saved state of a destination may have changed; save_snapshots() compares and stores it.
+  void mark_changed(int destination) { changed_destinations.insert(destination); }
+  // An outage began or ended, so the number of avoided endpoints may have changed too.
+  void outage_changed(int destination) {
+    mark_changed(destination);
+    avoided_count_valid = false;
   }
   void wake(Time at) { wake_at = at > now ? std::min(wake_at, at) : wake_at; }
 
-  Lane& lane(const LaneKey& key) {
-    const auto [it, fresh] = lanes.try_emplace(key);
-    if (fresh) it->second.part = &parts[{Granted::Of::kDestination, (it->second.key = key).first}];
+  Circuit& circuit(const CircuitKey& key) {
+    const auto [it, inserted] = circuits.try_emplace(key);
+    if (inserted) it->second.share = &shares[{Granted::Of::kDestination, (it->second.key = key).first}];
     return it->second;
   }
-  Part& part_of(const Destination& d) { return parts[{Granted::Of::kDestination, d.remembered.destination}]; }
-  Part& limit(int number) { return parts[{Granted::Of::kLimit, number}]; }
+  BudgetShare& share_of(const Destination& d) {
+    return shares[{Granted::Of::kDestination, d.saved.destination}];
+  }
+  BudgetShare& limit_share(int limit_id) { return shares[{Granted::Of::kLimit, limit_id}]; }
   const Latency& latency_of(const Destination& d) {
-    return d.latency.seen > 0 ? d.latency : kinds[d.kind].latency;
+    return d.latency.samples > 0 ? d.latency : kinds[d.kind].latency;
   }
   const Latency& latency_of(const Host& host) { return latency_of(destinations[host.member.destination]); }
 
-  Settings set;
+  Settings settings;
   std::vector<std::shared_ptr<const MessageRules>> rules;  // of new messages, by class
   Random random;
   Time now = std::numeric_limits<Time>::min();
-  Time started = kNever;  // when the first step was
-  std::vector<Action>* out = nullptr;
+  Time started = kNever;  // time of the first step
+  std::vector<Action>* actions = nullptr;
   Time wake_at = kNever;
-  Time closing = kNever;         // when this process ends
-  Time longest = kSecond;        // life of the longest-lived class
-  double hope = 2 * kHopeLeast;  // share of the calls past the suspicious age that are served after all
-  std::map<int, Kind> kinds;
-  std::map<int, Pacer> tenant_pacers;
-  std::map<std::pair<Granted::Of, int>, Part> parts;  // of a tenant's quota only the rate counts
+  Time shutdown_at = kNever;
+  Time max_time_to_live = kSecond;                       // of all message classes
+  double late_success_ratio = 2 * kMinLateSuccessRatio;  // share of overdue calls that are served after all
+  std::map<int, KindEstimates> kinds;
+  std::map<int, TokenBucket> tenant_buckets;
+  std::map<std::pair<Granted::Of, int>, BudgetShare> shares;  // for a tenant's quota only per_s is used
   std::map<uint64_t, Message> messages;
   std::map<std::pair<uint64_t, int>, Attempt> attempts;
-  std::map<uint64_t, int> calls;  // calls out, with their messages that have no outcome yet
+  std::map<uint64_t, int> calls;  // calls in flight, each with its number of messages without an outcome
   std::map<Endpoint, Host> hosts;
   std::map<int, Destination> destinations;
-  std::map<LaneKey, Lane> lanes;
-  // A step looks at what changed, however long the list is.
-  std::set<int> touched;         // destinations, since the last step
-  bool avoided_counted = false;  // the endpoints that are passed over are those that were counted last
+  std::map<CircuitKey, Circuit> circuits;
+  // Lets a step look only at what changed, so that its cost does not grow with the list of members.
+  std::set<int> changed_destinations;  // since the last step
+  bool avoided_count_valid = false;    // the count of avoided endpoints is still right
 };
 
 }  // namespace firspool::detail
--- a/tests/cold_fleet.h
+++ b/tests/cold_fleet.h
@@ -1,4 +1,4 @@
-// Many relays that share nothing, on one simulated clock, and a destination that goes out and returns cold.
+// A simulated fleet of relays that share no process, and a destination that fails and recovers cold.
 #pragma once
 
 #include <algorithm>
@@ -12,36 +12,36 @@
 
 namespace firspool::testing {
 
-enum class Trouble { kSilent, kDown, kShut };
-enum class Restarts { kNone, kInOutage, kAfterReturn };
+enum class Failure { kHang, kDown, kClosed };
+enum class Restarts { kNone, kInOutage, kAfterRecovery };
 
-struct Scene {
+struct Scenario {
   int relays = 3;
-  double capacity = 40;  // calls a second of the warm destination; also its limit
-  double before = 0.8;   // demand, in parts of the capacity, until the outage begins
-  double after = 1.6;    // and from then on
-  bool uneven = false;   // some relays are handed several times the mean
-  bool told = true;      // weights and reports tell the limit
-  Trouble trouble = Trouble::kSilent;
+  double capacity = 40;        // calls a second of the warm destination, and its limit
+  double load = 0.8;           // demand as a fraction of the capacity, until the outage
+  double peak_load = 1.6;      // and from its start on
+  bool uneven_demand = false;  // some relays receive several times the mean
+  bool reports_limit = true;   // weights and reports name the limit
+  Failure failure = Failure::kHang;
   Restarts restarts = Restarts::kNone;
 };
 
-struct Tally {
-  double over = -1e9;   // most calls beyond N in a window, in parts of the chance 2 sqrt(N) + 2 allowed
-  bool missed = false;  // a window held more than N + 2 sqrt(N) + 2
-  bool fell = false;    // more than N + 3 sqrt(N) + 3
-  bool broken = false;  // and over two thirds came from relays that had been told
-  double used = 0;      // calls while cold, in parts of what the budget gives in that time
-  size_t served = 0, handed = 0;  // since the outage began
+struct Result {
+  double max_excess = -1e9;         // most calls beyond N in a window, in units of the margin 2 sqrt(N) + 2
+  bool exceeded = false;            // a window had more than N + 2 sqrt(N) + 2 calls
+  bool overloaded = false;          // a window had more than N + 3 sqrt(N) + 3 calls
+  bool caused_by_aware = false;     // and over two thirds came from relays aware of the outage
+  double budget_used = 0;           // calls while cold, as a fraction of that time's budget
+  size_t served = 0, received = 0;  // messages since the outage began
 };
 
-inline Settings cold_fleet_settings(const Scene& scene, int self) {
+inline Settings cold_fleet_settings(const Scenario& scenario, int self) {
   Settings s = plain_settings();
   s.classes[1].effect = Effect::kSafe;
   s.classes[1].target = kSecond;
   s.classes[1].give_up = 5 * kSecond;
   s.self = self;
-  s.relays = scene.relays;
+  s.relays = scenario.relays;
   s.slots = 40;
   s.max_open = 300;
   s.max_attempts = 8;
@@ -49,7 +49,7 @@
   s.fall_window = 1'500'000;
   s.fall_multiple = 1.5;
   s.start_capacity = 0.23;
-  if (!scene.told) return s;
+  if (!scenario.reports_limit) return s;
   s.weights = Weights::kNominal;
   s.report_left = 0;
   s.report_limit = 1;
@@ -58,147 +58,147 @@
 
 class ColdFleet {
  public:
-  ColdFleet(const Scene& scene, uint64_t seed) : scene_(scene), random_(seed), tokens_(scene.capacity / 2) {
-    double whole = 0;
-    for (int i = 0; i < scene.relays; ++i) parts_.push_back(whole += scene.uneven ? 1 / (i + 1.0) : 1);
-    for (int i = 0; i < scene.relays; ++i) relays_.emplace_back(cold_fleet_settings(scene, i));
-    for (int i = 0; i < scene.relays; ++i) agenda_[0][i].push_back({0, list()});
-    for (Time at = 0; at < kEnd; at += micros_to_next(at)) arrive(at);
-    if (scene.restarts != Restarts::kNone) {
-      const Time at = scene.restarts == Restarts::kInOutage ? kBack - 2 * kSecond : kBack + 700'000;
-      for (int i = 0; i < scene.relays; ++i) agenda_[at][i].push_back({0, Restart{}});
+  ColdFleet(const Scenario& s, uint64_t seed) : setup_(s), random_(seed), tokens_(s.capacity / 2) {
+    double sum = 0;
+    for (int i = 0; i < s.relays; ++i) sums_.push_back(sum += s.uneven_demand ? 1 / (i + 1.0) : 1);
+    for (int i = 0; i < s.relays; ++i) relays_.emplace_back(cold_fleet_settings(s, i));
+    for (int i = 0; i < s.relays; ++i) queue_[0][i].push_back({0, list()});
+    for (Time at = 0; at < kEnd; at += time_to_next(at)) schedule_message(at);
+    if (s.restarts != Restarts::kNone) {
+      const Time at = s.restarts == Restarts::kInOutage ? kUpAt - 2 * kSecond : kUpAt + 700'000;
+      for (int i = 0; i < s.relays; ++i) queue_[at][i].push_back({0, Restart{}});
     }
   }
 
-  Tally run() {
-    while (!agenda_.empty()) {
-      const auto turn = agenda_.extract(agenda_.begin());
-      for (const auto& [relay, entries] : turn.mapped()) step(turn.key(), relay, entries);
+  Result run() {
+    while (!queue_.empty()) {
+      const auto slot = queue_.extract(queue_.begin());
+      for (const auto& [relay, entries] : slot.mapped()) step(slot.key(), relay, entries);
     }
-    return judge();
+    return evaluate();
   }
 
  private:
   static constexpr Time kTick = 5000;
-  static constexpr Time kOut = 40 * kSecond;
-  static constexpr Time kBack = 49 * kSecond;
+  static constexpr Time kDownAt = 40 * kSecond;
+  static constexpr Time kUpAt = 49 * kSecond;
   static constexpr Time kEnd = 65 * kSecond;
 
   struct Restart {};
   struct Entry {
-    int life = 0;
-    std::variant<Event, Restart> what;
+    int incarnation = 0;
+    std::variant<Event, Restart> payload;
   };
-  struct One {
-    explicit One(Settings s) : settings(std::move(s)) {}
+  struct Process {
+    explicit Process(Settings s) : settings(std::move(s)) {}
     Settings settings;
     std::unique_ptr<Policy> policy;
-    int life = 0;
-    bool told = false;  // a call of it failed or was refused while the outage lasted
-    std::map<uint64_t, Arrival> held;
+    int incarnation = 0;
+    bool aware = false;  // one of its calls failed or was refused during the outage
+    std::map<uint64_t, Arrival> messages;
     DestinationMemory memory;
   };
-  using Reached = std::pair<Time, bool>;  // when a call came, and whether its relay had been told
+  using ReceivedCall = std::pair<Time, bool>;  // arrival time of a call, and whether its relay was aware
 
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
   static Time tick_after(Time t) { return (t / kTick + 1) * kTick; }
 
-  double demand(Time t) const { return scene_.capacity * (t < kOut ? scene_.before : scene_.after); }
-  Time micros_to_next(Time t) { return 1 + static_cast<Time>(-std::log(1 - uniform()) / demand(t) * 1e6); }
+  double demand(Time t) const { return setup_.capacity * (t < kDownAt ? setup_.load : setup_.peak_load); }
+  Time time_to_next(Time t) { return 1 + static_cast<Time>(-std::log(1 - uniform()) / demand(t) * 1e6); }
 
   double warmth(Time t, const Settings& s) const {
-    if (t < kOut) return 1;
-    const double part = std::min(1.0, static_cast<double>(t - kBack) / static_cast<double>(s.cold));
+    if (t < kDownAt) return 1;
+    const double part = std::min(1.0, static_cast<double>(t - kUpAt) / static_cast<double>(s.cold));
     return s.start_capacity + (1 - s.start_capacity) * part;
   }
 
   Event list() const {
     Member m = member(1);
-    m.weight = scene_.capacity;
+    m.weight = setup_.capacity;
     return members({m});
   }
 
-  void arrive(Time at) {
-    const double pick = uniform() * parts_.back();
-    const int relay = static_cast<int>(std::upper_bound(parts_.begin(), parts_.end(), pick) - parts_.begin());
+  void schedule_message(Time at) {
+    const double point = uniform() * sums_.back();
+    const int relay = static_cast<int>(std::upper_bound(sums_.begin(), sums_.end(), point) - sums_.begin());
     Arrival a;
     a.id = ++last_id_;
     a.message_class = static_cast<int>(last_id_ % 2);
     a.destination = 1;
     a.due = at + relays_[relay].settings.classes[a.message_class].give_up;
-    handed_ += at >= kOut;
-    agenda_[tick_after(at)][relay].push_back({-1, a});
+    received_ += at >= kDownAt;
+    queue_[tick_after(at)][relay].push_back({-1, a});
   }
 
   void step(Time now, int relay, const std::vector<Entry>& entries) {
-    One& one = relays_[relay];
+    Process& process = relays_[relay];
     std::vector<Event> events;
     for (const Entry& entry : entries) {
-      if (std::holds_alternative<Restart>(entry.what)) {
-        restart(one, events);
+      if (std::holds_alternative<Restart>(entry.payload)) {
+        restart(process, events);
         continue;
       }
-      const Event& event = std::get<Event>(entry.what);
-      if (entry.life >= 0 && entry.life != one.life) continue;
+      const Event& event = std::get<Event>(entry.payload);
+      if (entry.incarnation >= 0 && entry.incarnation != process.incarnation) continue;
       if (const auto* e = std::get_if<AttemptEnded>(&event)) {
         const Time sent = now - e->took;
         if (e->outcome == Outcome::kOk)
-          served_ += now >= kOut && one.held.erase(e->id) > 0;
-        else if (now >= kOut && sent <= kBack)
-          one.told |= now <= kBack;
+          served_ += now >= kDownAt && process.messages.erase(e->id) > 0;
+        else if (now >= kDownAt && sent <= kUpAt)
+          process.aware |= now <= kUpAt;
       }
-      if (const auto* a = std::get_if<Arrival>(&event)) one.held[a->id] = *a;
+      if (const auto* a = std::get_if<Arrival>(&event)) process.messages[a->id] = *a;
       events.push_back(event);
     }
-    if (!one.policy) one.policy = std::make_unique<Policy>(one.settings, random_());
+    if (!process.policy) process.policy = std::make_unique<Policy>(process.settings, random_());
     std::vector<Action> actions;
-    one.policy->step(now, events, actions);
+    process.policy->step(now, events, actions);
     for (const Action& action : actions) carry_out(now, relay, action);
   }
 
-  // Its memory and its messages are given back; what was out is over.
-  void restart(One& one, std::vector<Event>& events) const {
-    ++one.life;
-    one.policy.reset();
-    one.memory.destination = 1;
-    events.assign({list(), one.memory});
-    for (auto& [id, held] : one.held) {
-      held.resumed = true;
-      events.push_back(held);
+  // The new process gets the snapshot and the open messages back; calls in flight are lost.
+  void restart(Process& process, std::vector<Event>& events) const {
+    ++process.incarnation;
+    process.policy.reset();
+    process.memory.destination = 1;
+    events.assign({list(), process.memory});
+    for (auto& [id, message] : process.messages) {
+      message.resumed = true;
+      events.push_back(message);
     }
   }
 
   void carry_out(Time now, int relay, const Action& action) {
-    One& one = relays_[relay];
+    Process& process = relays_[relay];
     if (const auto* send = std::get_if<Send>(&action)) {
-      Arrival& held = one.held.at(send->id);
-      const auto [outcome, took] = call(now, one, send->timeout);
-      AttemptEnded e = ended(*send, held.attempts++, outcome, took);
-      if (scene_.told && (outcome == Outcome::kOk || outcome == Outcome::kFull))
-        e.report = {static_cast<float>(tokens_ / (scene_.capacity / 2)), static_cast<float>(scene_.capacity)};
-      at(now + took, relay, e);
+      Arrival& message = process.messages.at(send->id);
+      const auto [outcome, took] = call(now, process, send->timeout);
+      AttemptEnded e = ended(*send, message.attempts++, outcome, took);
+      if (setup_.reports_limit && (outcome == Outcome::kOk || outcome == Outcome::kFull))
+        e.report = {static_cast<float>(tokens_ / (setup_.capacity / 2)), static_cast<float>(setup_.capacity)};
+      schedule(now + took, relay, e);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      if (timer->at < kEnd + 30 * kSecond) at(timer->at, relay, TimerFired{timer->token});
+      if (timer->at < kEnd + 30 * kSecond) schedule(timer->at, relay, TimerFired{timer->token});
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      one.held.erase(refuse->id);
+      process.messages.erase(refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      one.held.erase(fail->id);
-    } else if (const auto* word = std::get_if<Remember>(&action)) {
-      one.memory = word->memory;
+      process.messages.erase(fail->id);
+    } else if (const auto* remember = std::get_if<Remember>(&action)) {
+      process.memory = remember->memory;
     }
   }
 
-  void at(Time t, int relay, Event e) {
-    agenda_[(t + kTick - 1) / kTick * kTick][relay].push_back({relays_[relay].life, std::move(e)});
+  void schedule(Time t, int relay, Event e) {
+    queue_[(t + kTick - 1) / kTick * kTick][relay].push_back({relays_[relay].incarnation, std::move(e)});
   }
 
-  std::pair<Outcome, Time> call(Time now, const One& one, Time timeout) {
-    const bool out = now >= kOut && now < kBack;
-    if (out && scene_.trouble == Trouble::kSilent) return {Outcome::kTimeout, timeout};
-    if (out && scene_.trouble == Trouble::kDown) return {Outcome::kConnectFailed, 2 * kTick};
-    if (out) return {Outcome::kFull, 4 * kTick};
-    if (now >= kBack) reached_.push_back({now, one.told});
-    const double rate = scene_.capacity * warmth(now, one.settings);
+  std::pair<Outcome, Time> call(Time now, const Process& process, Time timeout) {
+    const bool in_outage = now >= kDownAt && now < kUpAt;
+    if (in_outage && setup_.failure == Failure::kHang) return {Outcome::kTimeout, timeout};
+    if (in_outage && setup_.failure == Failure::kDown) return {Outcome::kConnectFailed, 2 * kTick};
+    if (in_outage) return {Outcome::kFull, 4 * kTick};
+    if (now >= kUpAt) calls_.push_back({now, process.aware});
+    const double rate = setup_.capacity * warmth(now, process.settings);
     tokens_ = std::min(rate / 2, tokens_ + rate * static_cast<double>(now - tokens_at_) / 1e6);
     tokens_at_ = now;
     if (tokens_ < 1) return {Outcome::kFull, 4 * kTick};
@@ -206,45 +206,45 @@
     return {Outcome::kOk, 50'000 + static_cast<Time>(uniform() * 100'000)};
   }
 
-  Tally judge() const {
-    Tally out;
+  Result evaluate() const {
+    Result out;
     const Settings& s = relays_[0].settings;
     const double window = static_cast<double>(s.fall_window) / 1e6;
     size_t cold = 0;
-    for (size_t first = 0, end = 0; first < reached_.size(); ++first) {
-      const Time from = reached_[first].first;
-      if (from + s.fall_window > kBack + s.cold) break;
+    for (size_t first = 0, end = 0; first < calls_.size(); ++first) {
+      const Time from = calls_[first].first;
+      if (from + s.fall_window > kUpAt + s.cold) break;
       ++cold;
-      while (end < reached_.size() && reached_[end].first < from + s.fall_window) ++end;
-      const double n = s.fall_multiple * scene_.capacity * window *
+      while (end < calls_.size() && calls_[end].first < from + s.fall_window) ++end;
+      const double n = s.fall_multiple * setup_.capacity * window *
                        (warmth(from, s) + warmth(from + s.fall_window, s)) / 2;
       const double calls = static_cast<double>(end - first);
-      out.over = std::max(out.over, (calls - n) / (2 * std::sqrt(n) + 2));
-      out.missed |= calls > n + 2 * std::sqrt(n) + 2;
-      if (calls <= n + 3 * std::sqrt(n) + 3 || out.fell) continue;
-      out.fell = true;
-      size_t told = 0;
-      for (size_t i = first; i < end; ++i) told += reached_[i].second;
-      out.broken = 3 * told > 2 * (end - first);
+      out.max_excess = std::max(out.max_excess, (calls - n) / (2 * std::sqrt(n) + 2));
+      out.exceeded |= calls > n + 2 * std::sqrt(n) + 2;
+      if (calls <= n + 3 * std::sqrt(n) + 3 || out.overloaded) continue;
+      out.overloaded = true;
+      size_t aware = 0;
+      for (size_t i = first; i < end; ++i) aware += calls_[i].second;
+      out.caused_by_aware = 3 * aware > 2 * (end - first);
     }
     const double cold_s = static_cast<double>(s.cold) / 1e6;
-    out.used =
-        static_cast<double>(cold) / (s.fall_multiple * scene_.capacity * cold_s * (1 + s.start_capacity) / 2);
+    out.budget_used =
+        static_cast<double>(cold) / (s.fall_multiple * setup_.capacity * cold_s * (1 + s.start_capacity) / 2);
     out.served = served_;
-    out.handed = handed_;
+    out.received = received_;
     return out;
   }
 
-  Scene scene_;
-  std::mt19937_64 random_;  // its numbers are the same everywhere; distributions are not, so none is used
-  double tokens_;           // of the destination's limit
+  Scenario setup_;
+  std::mt19937_64 random_;  // portable sequence; the standard distributions are not, so none is used
+  double tokens_;           // left of the destination's limit
   Time tokens_at_ = 0;
-  std::vector<double> parts_;  // of the demand, summed up
-  std::vector<One> relays_;
-  std::map<Time, std::map<int, std::vector<Entry>>> agenda_;
-  std::vector<Reached> reached_;  // since the return
+  std::vector<double> sums_;  // running sum of the relays' shares of the demand
+  std::vector<Process> relays_;
+  std::map<Time, std::map<int, std::vector<Entry>>> queue_;
+  std::vector<ReceivedCall> calls_;  // since the end of the outage
   uint64_t last_id_ = 0;
-  size_t served_ = 0, handed_ = 0;
+  size_t served_ = 0, received_ = 0;
 };
 
 }  // namespace firspool::testing
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -17,17 +17,17 @@
   return now + 200'000;
 }
 
-// A list whose destination takes so much that no guard is in the way of the bucket.
-MembersChanged unguarded(Settings& s) {
+// A list whose destination has so high a limit that only the retry budget restricts retries.
+MembersChanged unlimited_list(Settings& s) {
   s.weights = Weights::kNominal;
   Member m = member(1);
   m.weight = 1e6;
   return members({m});
 }
 
-// ---- Retry bucket ----
+// ---- Retry budget ----
 
-TEST(RetryBucket, ARepeatWaitsARandomPause) {
+TEST(RetryBudget, ARetryWaitsARandomPause) {
   Relay relay(plain_settings());
   const auto first = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0)}));
   ASSERT_EQ(first.size(), 1u);
@@ -36,15 +36,15 @@
   EXPECT_EQ(all_of<Send>(relay.idle(110'000, kSecond, 10'000)).size(), 1u);
 }
 
-// Calls that all fail: the bucket's first fill goes, then repeats stop while first attempts go on.
-TEST(RetryBucket, RepeatsStopWhenTheBucketIsEmpty) {
+// All calls fail: the initial budget is spent, then retries stop while first attempts continue.
+TEST(RetryBudget, RetriesStopWhenTheBudgetIsSpent) {
   Settings s = plain_settings();
   s.max_attempts = 2;
-  const MembersChanged list = unguarded(s);
+  const MembersChanged list = unlimited_list(s);
   Relay relay(s);
   relay.step(0, {list});
-  int firsts = 0;
-  int repeats = 0;
+  int first_attempts = 0;
+  int retries = 0;
   Time now = 0;
   std::map<uint64_t, int> attempts;
   std::vector<Event> events;
@@ -54,48 +54,48 @@
       const auto sends = all_of<Send>(relay.step(now, events));
       events.clear();
       for (const Send& send : sends) {
-        ++(attempts[send.id] == 0 ? firsts : repeats);
+        ++(attempts[send.id] == 0 ? first_attempts : retries);
         events.push_back(ended(send, attempts[send.id]++, Outcome::kError));
       }
       now += 50'000;
     }
   }
-  EXPECT_EQ(firsts, 60);
-  EXPECT_EQ(repeats, 10);
+  EXPECT_EQ(first_attempts, 60);
+  EXPECT_EQ(retries, 10);
 }
 
-TEST(RetryBucket, ServedCallsEarnATenthOfARepeat) {
+TEST(RetryBudget, EachServedCallEarnsATenthOfARetry) {
   Settings s = plain_settings();
   s.classes[0].give_up = 2 * kSecond;
-  const MembersChanged list = unguarded(s);
+  const MembersChanged list = unlimited_list(s);
   Relay relay(s);
   relay.step(0, {list});
   Time now = 0;
   uint64_t id = 0;
-  const auto repeats_of_one_failure = [&] {
+  const auto retries_of_one_failure = [&] {
     const uint64_t mine = ++id;
     auto sends = all_of<Send>(relay.step(now, {relay.message(mine, now)}));
     int attempt = 0;
-    int repeats = 0;
+    int retries = 0;
     while (!sends.empty()) {
       std::vector<Event> events = {ended(sends[0], attempt++, Outcome::kError)};
       sends = all_of<Send>(relay.step(now += 10'000, events));
       for (int i = 0; i < 30 && sends.empty(); ++i) sends = all_of<Send>(relay.step(now += 10'000, {}));
-      repeats += static_cast<int>(sends.size());
+      retries += static_cast<int>(sends.size());
     }
-    relay.step(now += 3 * kSecond, {});  // the message is given up
-    return repeats;
+    relay.step(now += 3 * kSecond, {});  // the message expires
+    return retries;
   };
   int spent = 0;
-  for (int i = 0; i < 3; ++i) spent += repeats_of_one_failure();
-  EXPECT_EQ(spent, 10);  // the first fill
+  for (int i = 0; i < 3; ++i) spent += retries_of_one_failure();
+  EXPECT_EQ(spent, 10);  // the initial budget
   for (int i = 0; i < 10; ++i) now = serve_one(relay, ++id, now);
-  EXPECT_EQ(repeats_of_one_failure(), 1);
+  EXPECT_EQ(retries_of_one_failure(), 1);
 }
 
-// ---- Promises of a class ----
+// ---- Rules of a message class ----
 
-TEST(Promises, UnsafeIsRepeatedOnlyAfterProofThatItNeverRan) {
+TEST(ClassRules, UnsafeIsRetriedOnlyAfterProofThatItWasNotExecuted) {
   Relay relay(plain_settings());
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(7, 0, 1)}));
   ASSERT_EQ(sends.size(), 1u);
@@ -107,7 +107,7 @@
   EXPECT_TRUE(all_of<Refuse>(after).empty());
 }
 
-TEST(Promises, KeyedStaysInItsGroupAndWindow) {
+TEST(ClassRules, KeyedRetriesStayInTheirZoneAndKeyWindow) {
   Settings s = plain_settings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].key_scope = KeyScope::kZone;
@@ -122,10 +122,10 @@
   ASSERT_EQ(second.size(), 1u);
   EXPECT_EQ(second[0].endpoint, first[0].endpoint);
   const auto after = relay.step(3 * kSecond, {ended(second[0], 1, Outcome::kTimeout, kSecond)});
-  EXPECT_EQ(all_of<Fail>(after).size(), 1u);  // the window is over, and a refusal is not allowed
+  EXPECT_EQ(all_of<Fail>(after).size(), 1u);  // the key window is over, and it may not be refused either
 }
 
-TEST(Promises, MessagesOfAKeyGoInTurn) {
+TEST(ClassRules, MessagesOfOneKeyAreSentInOrder) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   s.order_pause = kSecond;
@@ -141,7 +141,7 @@
   EXPECT_EQ(next[0].id, 2u);
 }
 
-TEST(Promises, AWithdrawnMessageKeepsItsTurnWhileItsCallIsOut) {
+TEST(ClassRules, AReleasedMessageHoldsTheOrderWhileItsCallIsInFlight) {
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   Relay relay(s);
@@ -153,16 +153,16 @@
   EXPECT_EQ(all_of<Send>(relay.step(100'000, {ended(first.at(0), 0, Outcome::kError)})).size(), 1u);
 }
 
-TEST(Promises, EveryMessageIsAnsweredInTime) {
+TEST(ClassRules, EveryMessageEndsByItsDeadline) {
   Relay relay(plain_settings());
   relay.step(0, {relay.message(1, 0), relay.message(2, 0, 1)});  // no endpoint is ever listed
   relay.idle(0, 20 * kSecond);
   EXPECT_EQ(relay.owed(), 0u);
 }
 
-// ---- Waits, drains, slots ----
+// ---- Retry-after, draining, slots ----
 
-TEST(Waits, HoldTheWholeDestinationWhereTheLimitIsShared) {
+TEST(RetryAfter, BlocksTheWholeDestinationWhereTheLimitIsShared) {
   Relay relay(plain_settings());
   const auto first = all_of<Send>(relay.step(0, {members({member(1), member(2)}), relay.message(1, 0)}));
   relay.step(100'000,
@@ -171,15 +171,15 @@
   EXPECT_FALSE(all_of<Send>(relay.idle(2'010'000, 4 * kSecond)).empty());
 }
 
-// Held to its deadline it would have been answered no better, and its client told no sooner.
-TEST(Waits, OneThatOutlastsAMessagesTimeEndsItAtOnce) {
+// A message that cannot be sent before its deadline is refused at once, so that its client learns it early.
+TEST(RetryAfter, BeyondTheDeadlineRefusesTheMessageAtOnce) {
   for (const Outcome outcome : {Outcome::kFull, Outcome::kOk}) {
     Relay relay(plain_settings());
     const auto first = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
-    Arrival hurried = relay.message(2, 0);
-    hurried.due = 3 * kSecond;
+    Arrival urgent = relay.message(2, 0);
+    urgent.due = 3 * kSecond;
     const Time wait = outcome == Outcome::kFull ? 4 * kSecond : 0;
-    const auto done = relay.step(100'000, {ended(first.at(0), 0, outcome, 100'000, wait), hurried});
+    const auto done = relay.step(100'000, {ended(first.at(0), 0, outcome, 100'000, wait), urgent});
     const auto refused = all_of<Refuse>(done);
     ASSERT_EQ(refused.size(), wait > 0 ? 1u : 0u);
     if (wait > 0) {
@@ -188,7 +188,7 @@
   }
 }
 
-TEST(Waits, HoldOneRouteWhereRoutesAreApart) {
+TEST(RetryAfter, BlocksOnlyItsOwnEndpointWhereEndpointsAreIndependent) {
   Relay relay(plain_settings());
   const auto first =
       all_of<Send>(relay.step(0, {members({member(1, 1, 1), member(2, 1, 1)}), relay.message(1, 0)}));
@@ -198,7 +198,7 @@
   EXPECT_NE(again[0].endpoint, first[0].endpoint);
 }
 
-TEST(Drains, NothingNewGoesToADrainingEndpoint) {
+TEST(Draining, NoNewCallGoesToADrainingEndpoint) {
   Relay relay(plain_settings());
   relay.step(0, {members({member(1), member(2)})});
   relay.step(10'000, {members({member(1, 1, 0, Listing::kDraining)}, MembersChanged::Form::kDelta)});
@@ -220,7 +220,7 @@
   EXPECT_EQ(to_second, 4);
 }
 
-TEST(SlotShare, BindsOnlyWhileOthersWait) {
+TEST(SlotShare, AppliesOnlyWhileOthersWait) {
   Relay relay(plain_settings());
   std::vector<Event> events = {members({member(1, 1)})};
   for (uint64_t id = 1; id <= 20; ++id) events.push_back(relay.message(id, 0));
@@ -241,7 +241,7 @@
   EXPECT_EQ(all_of<Send>(relay.step(100'000, answers)).size(), 2u);
 }
 
-TEST(Shedding, TheLeastWorthIsGivenBackWhenRoomRunsOut) {
+TEST(Shedding, TheLowestValueIsRefusedWhenTooManyAreHeld) {
   Settings s = plain_settings();
   s.max_open = 10;
   s.classes[1].worth = 5;
@@ -253,8 +253,8 @@
   for (const Refuse& r : refused) EXPECT_NE(r.id, 1u);
 }
 
-// Whatever its messages are worth, a hot destination leaves the last places to the others.
-TEST(Shedding, AHotDestinationMakesRoomBeforeOthers) {
+// A destination that holds most of the places is shed first, whatever the value of its messages.
+TEST(Shedding, AHotDestinationIsShedBeforeOthers) {
   Settings s = plain_settings();
   s.max_open = 20;
   s.slots = 1;
@@ -271,8 +271,8 @@
   }
 }
 
-// Held to the end they would be refused no less, and their clients would hear it late.
-TEST(Queue, WhatCannotGoInItsTimeIsGivenBackAtOnce) {
+// Messages at the end of a queue that cannot drain in time are refused at once, not at their deadline.
+TEST(Queue, MessagesThatCannotBeSentInTimeAreRefusedAtOnce) {
   Settings s = plain_settings();
   s.slots = 1;
   s.retry_after_heard = true;
@@ -292,7 +292,7 @@
     std::get<Arrival>(events.back()).due = now + 4 * kSecond;
   }
   const auto refused = all_of<Refuse>(relay.step(now, events));
-  // Two a second go, perhaps nearly six: no more than 24 of 50 can be served in 4 s.
+  // Calls drain at two a second; the estimate allows nearly six, so it admits no more than 24 of 50 in 4 s.
   EXPECT_GE(refused.size(), 25u);
   EXPECT_LE(refused.size(), 42u);
   std::vector<Time> waits;
@@ -302,10 +302,10 @@
     waits.push_back(r.retry_after);
   }
   std::sort(waits.begin(), waits.end());
-  EXPECT_GT(waits.back() - waits.front(), kSecond / 2);  // not in step
+  EXPECT_GT(waits.back() - waits.front(), kSecond / 2);  // the clients do not all come back at once
 }
 
-// Serves a message every 100 ms for some seconds, so that the relay knows the destination's pace.
+// Serves a message every 200 ms for 8 s, so that the relay has an estimate of the destination's rate.
 Time warm_up(Relay& relay, uint64_t& id) {
   relay.step(0, {members({member(1)})});
   Time now = 0;
@@ -313,8 +313,8 @@
   return now;
 }
 
-// An outage is no reason: how long its queue takes is not known.
-TEST(Queue, OfAnOutageIsNotEstimated) {
+// During an outage no message is refused for its queue: how long that takes to drain is not known.
+TEST(Queue, IsNotEstimatedDuringAnOutage) {
   Relay relay(plain_settings());
   uint64_t id = 0;
   Time now = warm_up(relay, id);
@@ -331,8 +331,8 @@
 
 // ---- Outages ----
 
-// A hang: no outcome tells of it, calls only grow old. First attempts are held after a few.
-TEST(Outages, AHangIsSeenByOverdueCalls) {
+// A destination that hangs produces no outcomes. After a few overdue calls first attempts are held back.
+TEST(Outages, AHangIsDetectedFromOverdueCalls) {
   Settings s = plain_settings();
   s.slots = 100;
   Relay relay(s);
@@ -345,8 +345,8 @@
   EXPECT_LE(sends, 12);
 }
 
-// After an outage the relay's own sends stay under its part of the fail-back budget, queue or not.
-TEST(Outages, AQueueIsNotLetGoAtOnceOnReturn) {
+// After an outage the relay's sends stay under its share of the recovery budget, also with a long queue.
+TEST(Outages, AQueueDrainsGraduallyAfterRecovery) {
   Settings s = plain_settings();
   s.slots = 100;
   Relay relay(s);
@@ -370,7 +370,7 @@
   for (const Time from : sent_after_return) {
     const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.cold);
     const double budget =
-        2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;  // of its own part, ten a second at most
+        2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;  // its own share is ten a second at most
     const auto in_window = std::count_if(sent_after_return.begin(), sent_after_return.end(),
                                          [&](Time t) { return t >= from && t < from + 3 * kSecond; });
     EXPECT_LE(static_cast<double>(in_window), budget);
@@ -380,8 +380,8 @@
             10);
 }
 
-// A few lost answers among served calls are not an outage: first attempts go on.
-TEST(Outages, LostAnswersAmongServedCallsHoldNothing) {
+// A few lost answers among served calls are not an outage: first attempts continue.
+TEST(Outages, LostAnswersAmongServedCallsAreNoOutage) {
   Settings s = plain_settings();
   s.slots = 100;
   Relay relay(s);
@@ -394,9 +394,8 @@
   }
 }
 
-// Messages wait, a call is overdue, and one sent later was served: its answer is lost, so its slot is freed.
-// Calls past the suspicious age end as they did before: served late, or timed out. Returns the last one's id.
-uint64_t overdue_calls(Relay& relay, uint64_t& id, Time& now, Outcome outcome) {
+// Three calls that pass the suspicious age end with `outcome`; a fourth gets no answer. Returns its id.
+uint64_t make_overdue_calls(Relay& relay, uint64_t& id, Time& now, Outcome outcome) {
   for (int i = 0; i < 3; ++i) {
     const auto sends = all_of<Send>(relay.step(now, {relay.message(++id, now)}));
     EXPECT_EQ(sends.size(), 1u);
@@ -415,34 +414,36 @@
   return open;
 }
 
-TEST(Outages, LostAnswersGiveTheirSlotsBackWhenOthersWait) {
+// Overdue calls have timed out before, and a call sent after this one was served: its answer is taken for
+// lost, and its slot is freed once other messages wait.
+TEST(Outages, LostCallsAreCancelledWhenOthersWait) {
   Settings s = plain_settings();
   s.slots = 2;
   s.may_cancel = true;
   Relay relay(s);
   uint64_t id = 0;
   Time now = warm_up(relay, id);
-  const uint64_t lost = overdue_calls(relay, id, now, Outcome::kTimeout);
-  EXPECT_TRUE(all_of<Cancel>(relay.step(now, {})).empty());  // no one waits
+  const uint64_t lost = make_overdue_calls(relay, id, now, Outcome::kTimeout);
+  EXPECT_TRUE(all_of<Cancel>(relay.step(now, {})).empty());  // no message waits
   const auto freed = all_of<Cancel>(relay.step(now, {relay.message(++id, now), relay.message(++id, now)}));
   ASSERT_EQ(freed.size(), 1u);
   EXPECT_EQ(freed[0].id, lost);
 }
 
-TEST(Outages, SlowCallsKeepTheirSlots) {
+TEST(Outages, SlowCallsAreNotCancelled) {
   Settings s = plain_settings();
   s.slots = 2;
   s.may_cancel = true;
   Relay relay(s);
   uint64_t id = 0;
   Time now = warm_up(relay, id);
-  overdue_calls(relay, id, now, Outcome::kOk);
+  make_overdue_calls(relay, id, now, Outcome::kOk);
   EXPECT_TRUE(all_of<Cancel>(relay.step(now, {relay.message(++id, now), relay.message(++id, now)})).empty());
 }
 
-// Scouts burn messages whose repeats find the bucket empty: where probes are allowed one goes ahead of each
-// scout.
-TEST(Outages, AProbeGoesAheadOfAScout) {
+// A failed trial call costs its message an attempt, and the retry budget may be spent. Where probes are
+// allowed, a trial call is sent only after a successful probe.
+TEST(Outages, AProbePrecedesEachTrialCall) {
   Settings s = plain_settings();
   s.slots = 100;
   s.may_probe = true;
@@ -451,7 +452,7 @@
   Time now = warm_up(relay, id);
   std::map<uint64_t, int> attempts;
   std::vector<Event> events;
-  int late_sends = 0;
+  int outage_sends = 0;
   int probes = 0;
   for (int i = 0; i < 70; ++i, now += 100'000) {  // down: the outage is proven within the first two seconds
     events.push_back(relay.message(++id, now));
@@ -459,7 +460,7 @@
     events.clear();
     for (const Send& send : all_of<Send>(actions)) {
       events.push_back(ended(send, attempts[send.id]++, Outcome::kConnectFailed));
-      late_sends += i >= 20;
+      outage_sends += i >= 20;
     }
     for (const Probe& probe : all_of<Probe>(actions)) {
       events.push_back(ProbeEnded{probe.endpoint, false, 50'000, {}});
@@ -467,13 +468,13 @@
     }
   }
   relay.step(now, events);
-  EXPECT_EQ(late_sends, 0);
+  EXPECT_EQ(outage_sends, 0);
   EXPECT_GE(probes, 4);
   EXPECT_LE(probes, 20);
 }
 
-// A slow answer to a suspected call ends the suspicion, without a ramp.
-TEST(Outages, SlowCallsEndASuspicion) {
+// An answer to one of the overdue calls ends the suspected outage, without a warm-up.
+TEST(Outages, ASlowAnswerEndsASuspectedOutage) {
   Settings s = plain_settings();
   s.slots = 100;
   Relay relay(s);
@@ -491,8 +492,8 @@
   EXPECT_EQ(all_of<Send>(relay.step(now, events)).size(), 10u);
 }
 
-// Refused by a limit shared with other relays: the own pace goes down, and it is not taken for an outage.
-TEST(Limits, RefusalsSlowTheOwnPace) {
+// Refusals by a limit shared with other relays lower the own rate and are not taken for an outage.
+TEST(Limits, RefusalsLowerTheOwnRate) {
   Settings s = plain_settings();
   s.weights = Weights::kNominal;
   s.relays = 2;
@@ -516,13 +517,12 @@
     return sends;
   };
   const int served = count(kSecond, Outcome::kOk);
-  EXPECT_EQ(served, 80);  // until a refusal nothing is held back
+  EXPECT_EQ(served, 80);  // before the first refusal nothing is held back
   EXPECT_LT(count(40 * kSecond, Outcome::kFull), served / 2);
 }
 
-// Counts the attempts of a relay, fresh at the start, that calls a dead destination every so often for some
-// time.
-int attempts_on_a_dead_destination(Time every, Time until, int relays = 3) {
+// Counts the attempts of a newly started relay that gets a message for a dead destination each `every`.
+int attempts_to_dead_destination(Time every, Time until, int relays = 3) {
   Settings s = plain_settings();
   s.relays = relays;
   s.weights = Weights::kNominal;
@@ -545,19 +545,21 @@
   return count;
 }
 
-// A rare caller earns nothing from a dead destination: beyond the first fill there are no repeats.
-TEST(ExpectedTrouble, ARareCallerRepeatsNoMoreThanItsFirstFill) {
-  EXPECT_LE(attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond), 30 + 10);
+// Calls to a dead destination earn no retry budget: 30 first attempts, and the 10 retries of the initial
+// budget.
+TEST(DeadDestination, ARareCallerRetriesOnlyFromItsInitialBudget) {
+  EXPECT_LE(attempts_to_dead_destination(2 * kSecond, 60 * kSecond), 30 + 10);
 }
 
-// A restarted relay has a full bucket, but sees the outage in three calls and then only scouts.
-TEST(ExpectedTrouble, ARestartedRelaySoonOnlyScouts) {
-  EXPECT_LE(attempts_on_a_dead_destination(100'000, 10 * kSecond), 10 + 10 + 10);  // of a hundred messages
+// A restarted relay has the full retry budget, but detects the outage after three failed calls and then sends
+// only trial calls.
+TEST(DeadDestination, ARestartedRelaySoonSendsOnlyTrialCalls) {
+  EXPECT_LE(attempts_to_dead_destination(100'000, 10 * kSecond), 10 + 10 + 10);  // of a hundred messages
 }
 
-// ---- Fleets of hundreds: a relay calls most destinations seldom ----
+// ---- Fleets of hundreds of relays: each calls most destinations seldom ----
 
-// An even part of a limit is a call a minute at 300 relays: nothing is held back before a refusal.
+// The even share of the limit is less than a call a minute at 300 relays. It is not applied before a refusal.
 TEST(Fleet, ARareCallerIsServedAtOnce) {
   Settings s = plain_settings();
   s.relays = 300;
@@ -569,16 +571,16 @@
   for (uint64_t id = 1; id <= 10; ++id) serve_one(relay, id, static_cast<Time>(id) * 5 * kSecond);
 }
 
-// Scouts are counted for the fleet: one relay of 300 sends far fewer than one of three.
-TEST(Fleet, ScoutsOfManyRelaysAddUpToFew) {
-  const int few = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 3);
-  const int many = attempts_on_a_dead_destination(2 * kSecond, 60 * kSecond, 300);
+// The rate of trial calls is set for the whole fleet: one relay of 300 sends far fewer than one of three.
+TEST(Fleet, TrialCallsOfManyRelaysAddUpToFew) {
+  const int few = attempts_to_dead_destination(2 * kSecond, 60 * kSecond, 3);
+  const int many = attempts_to_dead_destination(2 * kSecond, 60 * kSecond, 300);
   EXPECT_LT(many, few / 2);
   EXPECT_GE(many, 3);
 }
 
-// All relays are told the same end of a wait: a return begins there, and what they hold does not go at once.
-TEST(Fleet, ALongToldWaitBeginsAReturn) {
+// All relays receive the same retry-after. Its end counts as a recovery, so their queues drain gradually.
+TEST(Fleet, ALongRetryAfterStartsARecovery) {
   Settings s = plain_settings();
   s.relays = 300;
   Relay relay(s);
@@ -586,11 +588,11 @@
   ASSERT_EQ(first.size(), 1u);
   relay.step(50'000, {ended(first[0], 0, Outcome::kFull, 50'000, 5000'000), relay.message(2, 50'000)});
   EXPECT_TRUE(all_of<Send>(relay.idle(60'000, 6 * kSecond)).empty());
-  EXPECT_FALSE(all_of<Send>(relay.idle(6 * kSecond, 19 * kSecond)).empty());  // warm before the messages end
+  EXPECT_FALSE(all_of<Send>(relay.idle(6 * kSecond, 19 * kSecond)).empty());  // before the messages expire
 }
 
-// Refusals for seconds are a limit's where reports say that it is used up: others do that, unseen by a rare
-// caller. Where the limit has room, they are a shut destination's.
+// A rare caller is refused for seconds. Where reports say that the limit is used up, other relays use it and
+// this is no outage; where the limit has room, the destination is closed.
 TEST(Fleet, ALimitThatOthersUseUpIsNoOutage) {
   const auto outages = [](float left) {
     Settings s = plain_settings();
@@ -619,7 +621,8 @@
   EXPECT_EQ(outages(0.9F), 1u);
 }
 
-// Each calls seldom, and none is out when the next is sent: what looks best to one looks best to all.
+// A relay that calls seldom never sees its own load on an endpoint: without a correction all relays of the
+// fleet would choose the same endpoint.
 TEST(Fleet, CallsSpreadOverTheEndpointsOfADestination) {
   Settings s = plain_settings();
   s.relays = 100;
@@ -640,10 +643,9 @@
   for (const auto& [endpoint, count] : calls) EXPECT_GE(count, 60);  // of 200
 }
 
-// Sends of one relay of a hundred in five seconds after `from`, with a message every 100 ms and each served
-// and answered with the share that is left of a limit.
-struct Steered {
-  explicit Steered(float weight = 200) : settings(plain_settings()) {
+// One relay of a hundred with a destination that reports its limit and the share of it that is left.
+struct ReportedLimit {
+  explicit ReportedLimit(float weight = 200) : settings(plain_settings()) {
     settings.relays = 100;
     settings.report_left = 0;
     settings.report_limit = 1;
@@ -655,6 +657,7 @@
     relay->step(0, {members({m})});
   }
 
+  // Counts the sends in the five seconds after `from`, with a message every 100 ms and all of them served.
   int sends(Time from, float left, float limit) {
     int count = 0;
     for (Time t = from; t < from + 5 * kSecond; t += 50'000) {
@@ -678,56 +681,60 @@
   uint64_t id = 0;
 };
 
-// The others use a limit up: a relay that hears so keeps to its even part before it is refused.
-TEST(Fleet, ALimitNearlyUsedUpHoldsToTheEvenPart) {
-  Steered one;
-  for (const Time from : {1, 6, 11}) one.sends(from * kSecond, 1, 200);
-  EXPECT_GE(one.sends(16 * kSecond, 1, 200), 40);  // of 50
-  one.sends(21 * kSecond, 0, 200);
-  const int held = one.sends(26 * kSecond, 0, 200);
+// The other relays use the limit up: by the reports a relay keeps to its even share before it is refused.
+TEST(Fleet, ALimitNearlyUsedUpCapsTheRateAtTheEvenShare) {
+  ReportedLimit fixture;
+  for (const Time from : {1, 6, 11}) fixture.sends(from * kSecond, 1, 200);
+  EXPECT_GE(fixture.sends(16 * kSecond, 1, 200), 40);  // of 50
+  fixture.sends(21 * kSecond, 0, 200);
+  const int held = fixture.sends(26 * kSecond, 0, 200);
   EXPECT_GE(held, 5);
-  EXPECT_LE(held, 10);                             // two a second
-  EXPECT_LE(one.sends(31 * kSecond, 1, 200), 25);  // and lets go slowly while messages wait
+  EXPECT_LE(held, 10);                                 // the even share is two a second
+  EXPECT_LE(fixture.sends(31 * kSecond, 1, 200), 25);  // the rate grows slowly while messages wait
 }
 
-// A limit that is lowered is heeded before it is used up.
-TEST(Fleet, ALoweredLimitIsHeededAtOnce) {
-  Steered one;
-  for (const Time from : {1, 6, 11}) one.sends(from * kSecond, 1, 200);
-  EXPECT_GE(one.sends(16 * kSecond, 1, 200), 40);
-  EXPECT_LE(one.sends(21 * kSecond, 0.6F, 100), 15);
+// A lowered limit is followed before it is used up.
+TEST(Fleet, ALoweredLimitIsFollowedAtOnce) {
+  ReportedLimit fixture;
+  for (const Time from : {1, 6, 11}) fixture.sends(from * kSecond, 1, 200);
+  EXPECT_GE(fixture.sends(16 * kSecond, 1, 200), 40);
+  EXPECT_LE(fixture.sends(21 * kSecond, 0.6F, 100), 15);
 }
 
-// Relays that start together are handed what the dead ones held: they do not all send it at once.
-TEST(Fleet, AFreshRelayKeepsToTheEvenPartUntilItHears) {
-  Steered one(200);
+// Relays that start together take over the messages of dead relays and must not send them all at once.
+TEST(Fleet, ANewRelayKeepsToTheEvenShareUntilTheFirstReport) {
+  ReportedLimit fixture(200);
   std::vector<Event> held;
-  for (uint64_t id = 1; id <= 20; ++id) held.push_back(one.relay->message(id, kSecond));
-  EXPECT_EQ(all_of<Send>(one.relay->step(kSecond, held)).size(), 1u);
-  EXPECT_LE(all_of<Send>(one.relay->idle(1'050'000, 3 * kSecond)).size(), 4u);  // two a second
+  for (uint64_t id = 1; id <= 20; ++id) held.push_back(fixture.relay->message(id, kSecond));
+  EXPECT_EQ(all_of<Send>(fixture.relay->step(kSecond, held)).size(), 1u);
+  EXPECT_LE(all_of<Send>(fixture.relay->idle(1'050'000, 3 * kSecond)).size(), 4u);  // two a second
 }
 
-// A destination's only endpoint is replaced: all relays hear of the new one at once, with messages waiting.
+// The only endpoint of a destination is replaced: all relays learn of the new one at once, and all of them
+// hold messages for it.
 TEST(Fleet, AReplacedEndpointIsNotCalledByAllAtOnce) {
-  Steered one;
-  one.sends(kSecond, 1, 200);
+  ReportedLimit fixture;
+  fixture.sends(kSecond, 1, 200);
   const auto change = [](const Member& m) { return members({m}, MembersChanged::Form::kDelta); };
-  one.relay->step(10 * kSecond, {change(member(1, 1, 0, Listing::kDraining))});
+  fixture.relay->step(10 * kSecond, {change(member(1, 1, 0, Listing::kDraining))});
   for (uint64_t id = 1001; id <= 1005; ++id) {
-    EXPECT_TRUE(all_of<Send>(one.relay->step(11 * kSecond, {one.relay->message(id, 11 * kSecond)})).empty());
+    EXPECT_TRUE(
+        all_of<Send>(fixture.relay->step(11 * kSecond, {fixture.relay->message(id, 11 * kSecond)})).empty());
   }
-  EXPECT_TRUE(all_of<Send>(one.relay->step(15 * kSecond, {change(member(2))})).empty());
-  EXPECT_GE(one.sends(15'050'000, 1, 200), 5);
-  one.relay->step(40 * kSecond, one.events);  // its own messages, and those that waited, are over
-  // What is said of another endpoint changes nothing for one that can be reached.
-  one.relay->step(45 * kSecond, {change(member(3))});
-  EXPECT_FALSE(all_of<Send>(one.relay->step(45 * kSecond, {one.relay->message(1010, 45 * kSecond)})).empty());
+  EXPECT_TRUE(all_of<Send>(fixture.relay->step(15 * kSecond, {change(member(2))})).empty());
+  EXPECT_GE(fixture.sends(15'050'000, 1, 200), 5);
+  fixture.relay->step(40 * kSecond,
+                      fixture.events);  // ends the calls in flight; the messages that waited expire
+  // A change of another endpoint does not affect a destination that is already reachable.
+  fixture.relay->step(45 * kSecond, {change(member(3))});
+  EXPECT_FALSE(
+      all_of<Send>(fixture.relay->step(45 * kSecond, {fixture.relay->message(1010, 45 * kSecond)})).empty());
 }
 
 // ---- Connections ----
 
-// Calls on connections that idled long are lost, on fresh ones served: the next call opens a fresh one.
-TEST(Connections, IdleOnesThatWereDroppedUnseenAreNotUsedAgain) {
+// Calls on long idle connections are lost and calls on new ones served: the next call opens a new connection.
+TEST(Connections, DroppedIdleConnectionsAreNotReused) {
   Relay relay(plain_settings());
   relay.step(0, {members({member(1)})});
   Time now = kSecond;
@@ -749,8 +756,8 @@
   EXPECT_TRUE(closed);
 }
 
-// An endpoint takes few connections: where calls get none, idle ones are given back after each call.
-TEST(Connections, IdleOnesAreReleasedWhileTablesAreFull) {
+// An endpoint with a full connection table refuses new connections: idle ones are closed after each call.
+TEST(Connections, IdleConnectionsAreClosedWhileTablesAreFull) {
   Relay relay(plain_settings());
   uint64_t id = 0;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(++id, 0)}));
@@ -765,10 +772,9 @@
             1u);
 }
 
-// An unsafe call keeps no slot for its whole life: lost answers would fill the slots one by one.
-// A destination that is down connects nobody: that says nothing of full tables, there or at others of its
-// kind.
-TEST(Connections, AnOutageIsNoFullTable) {
+// A destination that is down accepts no connection. That must not look like a full connection table, neither
+// there nor at other destinations of its kind.
+TEST(Connections, AnOutageIsNotTakenForAFullTable) {
   Relay relay(plain_settings());
   relay.step(0, {members({member(1), member(2, 2)})});
   std::map<uint64_t, int> attempts;
@@ -794,7 +800,8 @@
   EXPECT_EQ(released, 0u);
 }
 
-TEST(Outages, UnsafeCallsAreBoundedToo) {
+// If an unsafe call kept its slot until its deadline, lost answers would fill the slots one by one.
+TEST(Outages, UnsafeCallsHaveABoundedTimeout) {
   Relay relay(plain_settings());
   uint64_t id = 0;
   const Time now = warm_up(relay, id);
@@ -803,9 +810,9 @@
   EXPECT_LT(sends[0].timeout, 10 * kSecond);
 }
 
-// ---- The list ----
+// ---- Member list ----
 
-TEST(List, AskingIsRenewedAfterAFailure) {
+TEST(MemberList, IsRequestedAgainAfterAFailure) {
   Settings s = plain_settings();
   s.ask_for_list = true;
   s.ask_every = 10 * kSecond;
@@ -819,7 +826,7 @@
 
 // ---- Restarts ----
 
-// A policy that has just been started anew and is told of one message from before.
+// Starts a policy, hands it one message from before a restart, and returns its actions.
 std::vector<Action> resumed(const Settings& s, int message_class, int attempts, bool ran, Time since) {
   Policy policy(s, 1);
   Arrival in;
@@ -835,7 +842,7 @@
   return actions;
 }
 
-TEST(Restart, ResumedMessagesKeepTheirClassesRules) {
+TEST(Restart, ResumedMessagesKeepTheRulesOfTheirClass) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[2].effect = Effect::kKeyed;
@@ -845,22 +852,23 @@
   EXPECT_EQ(all_of<Send>(resumed(s, 1, 1, false, 0)).size(), 1u);
   EXPECT_EQ(all_of<Send>(resumed(s, 2, 1, true, kSecond)).size(), 1u);
   EXPECT_EQ(all_of<Fail>(resumed(s, 2, 1, true, 6 * kSecond)).size(), 1u);        // and not refused
-  EXPECT_EQ(all_of<Refuse>(resumed(s, 0, s.max_attempts, false, 0)).size(), 1u);  // attempts count on
+  EXPECT_EQ(all_of<Refuse>(resumed(s, 0, s.max_attempts, false, 0)).size(), 1u);  // no attempts are left
 }
 
-TEST(Restart, AttemptNumbersGoOn) {
+TEST(Restart, AttemptNumbersContinue) {
   Relay relay(plain_settings());
   Arrival in = relay.message(1, 0);
   in.attempts = 2;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), in}));
   ASSERT_EQ(sends.size(), 1u);
-  relay.step(kSecond, {ended(sends[0], 0, Outcome::kError)});  // none of its numbers: passed over
+  relay.step(kSecond, {ended(sends[0], 0, Outcome::kError)});  // not its attempt number: ignored
   EXPECT_TRUE(all_of<Send>(relay.idle(kSecond, 2 * kSecond)).empty());
   relay.step(2 * kSecond, {ended(sends[0], 2, Outcome::kOk)});
 }
 
-// Without it a restarted relay would send all that it resumed at once to a destination that is down or cold.
-TEST(Restart, OutagesAndBucketsAreRemembered) {
+// Otherwise a restarted relay would send all resumed messages at once to a destination that is down or that
+// has just recovered.
+TEST(Restart, OutagesAndRetryBudgetsAreRestored) {
   const Settings s = plain_settings();
   DestinationMemory last;
   Policy before(s, 1);
@@ -874,7 +882,7 @@
     std::vector<Event> failed;
     for (const Send& send : all_of<Send>(actions)) failed.push_back(ended(send, 0, Outcome::kConnectFailed));
     before.step(now + 1000, failed, actions);
-    for (const Remember& word : all_of<Remember>(actions)) last = word.memory;
+    for (const Remember& remember : all_of<Remember>(actions)) last = remember.memory;
   }
   EXPECT_NE(last.out_since, 0);
   const auto sends = [&](std::vector<Event> events) {
@@ -889,7 +897,7 @@
   EXPECT_LE(sends({last}), 1u);
 }
 
-TEST(Restart, ABucketSpentStaysSpent) {
+TEST(Restart, ASpentRetryBudgetStaysSpent) {
   const Settings s = plain_settings();
   Policy policy(s, 1);
   Arrival in;
@@ -902,8 +910,8 @@
   EXPECT_TRUE(all_of<Send>(actions).empty());
 }
 
-// A connection that comes up late must not carry a keyed repeat past the time that its key is remembered.
-TEST(Restart, AKeyedRepeatSaysWhenItMustHaveStarted) {
+// A slow connect must not delay a keyed retry until the destination has forgotten the key.
+TEST(Restart, AKeyedRetryCarriesItsLatestStart) {
   Settings s = plain_settings();
   s.classes[0].effect = Effect::kKeyed;
   s.classes[0].key_window = 5 * kSecond;
@@ -912,7 +920,7 @@
   EXPECT_LT(sends[0].start_by, 104 * kSecond);
 }
 
-TEST(Restart, NoCallStartsThatMayNotBeOverBeforeTheEnd) {
+TEST(Shutdown, NoCallStartsThatMayOutlastTheProcess) {
   Relay relay(plain_settings());
   relay.step(0, {members({member(1)}), Closing{4 * kSecond}});
   EXPECT_EQ(all_of<Send>(relay.step(kSecond, {relay.message(1, kSecond)})).size(), 1u);
@@ -921,7 +929,7 @@
 
 // ---- The last useful attempt ----
 
-// A destination that usually takes 400 ms has served these.
+// A destination has served 20 messages in 400 ms each.
 class LastAttempt : public ::testing::Test {
  protected:
   LastAttempt() {
@@ -932,7 +940,7 @@
       relay_.step(now + 400'000, {ended(sends.at(0), 0, Outcome::kOk, 400'000)});
     }
   }
-  Arrival hurried(uint64_t id, Time now, Time left) const {
+  Arrival message_due_in(uint64_t id, Time now, Time left) const {
     Arrival out = relay_.message(id, now);
     out.due = now + left;
     return out;
@@ -941,9 +949,9 @@
   Relay relay_{plain_settings()};
 };
 
-TEST_F(LastAttempt, IsNotMadeWithTooLittleLeftForAUsualAnswer) {
+TEST_F(LastAttempt, IsNotMadeTooLateForATypicalAnswer) {
   const Time now = 30 * kSecond;
-  const auto done = relay_.step(now, {hurried(100, now, 200'000), hurried(101, now, kSecond)});
+  const auto done = relay_.step(now, {message_due_in(100, now, 200'000), message_due_in(101, now, kSecond)});
   const auto sends = all_of<Send>(done);
   const auto refused = all_of<Refuse>(done);
   ASSERT_EQ(sends.size(), 1u);
@@ -952,30 +960,30 @@
   EXPECT_EQ(refused[0].id, 100u);
 }
 
-TEST_F(LastAttempt, MayNotStartOnceAConnectHasEatenTheAnswersTime) {
+TEST_F(LastAttempt, MayNotStartAfterASlowConnect) {
   const Time now = 30 * kSecond;
-  const auto sends = all_of<Send>(relay_.step(now, {hurried(100, now, kSecond)}));
+  const auto sends = all_of<Send>(relay_.step(now, {message_due_in(100, now, kSecond)}));
   ASSERT_EQ(sends.size(), 1u);
   EXPECT_GT(sends[0].start_by, now);
   EXPECT_LT(sends[0].start_by, now + 800'000);
-  // It did not start: the answer is given at once and not at the end.
+  // The attempt was not sent: the message is refused at once and not at its deadline.
   EXPECT_EQ(all_of<Refuse>(relay_.step(now + 700'000, {ended(sends[0], 0, Outcome::kMoot, 700'000)})).size(),
             1u);
 }
 
-TEST_F(LastAttempt, APauseThatOutlastsTheTimeIsNotWaitedFor) {
+TEST_F(LastAttempt, APauseBeyondTheDeadlineRefusesAtOnce) {
   const Time now = 30 * kSecond;
-  const auto sends = all_of<Send>(relay_.step(now, {hurried(100, now, 900'000)}));
+  const auto sends = all_of<Send>(relay_.step(now, {message_due_in(100, now, 900'000)}));
   ASSERT_EQ(sends.size(), 1u);
   const Time then = now + 600'000;
   EXPECT_EQ(all_of<Refuse>(relay_.step(then, {ended(sends[0], 0, Outcome::kError, 600'000)})).size(), 1u);
 }
 
-// Failures are no reason: only what served calls took is.
+// The typical latency is learned from served calls only, not from failures.
 TEST_F(LastAttempt, AFirstAttemptIsNotWithheldForFailures) {
   Time now = 30 * kSecond;
   for (uint64_t id = 100; id < 103; ++id) {
-    const auto sends = all_of<Send>(relay_.step(now, {hurried(id, now, 600'000)}));
+    const auto sends = all_of<Send>(relay_.step(now, {message_due_in(id, now, 600'000)}));
     const auto first =
         std::find_if(sends.begin(), sends.end(), [id](const Send& send) { return send.id == id; });
     ASSERT_NE(first, sends.end()) << id;
@@ -984,9 +992,9 @@
   }
 }
 
-// ---- Wrong use ----
+// ---- Invalid use ----
 
-TEST(WrongUse, IsTold) {
+TEST(InvalidUse, ThrowsInvalidArgument) {
   const Settings s = plain_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
@@ -1002,14 +1010,14 @@
   EXPECT_THROW(Policy(Settings{}, 1), std::invalid_argument);
 }
 
-TEST(WrongUse, WhatIsNotHeldIsPassedOver) {
+TEST(InvalidUse, EventsForUnknownIdsAreIgnored) {
   Relay relay(plain_settings());
   relay.step(0, {members({member(1)}), Withdrawn{99}, TimerFired{5}, PeerNote{1, "x"},
                  ended(Send{98, {1, 80}, 0}, 0, Outcome::kOk), ProbeEnded{{9, 9}, true, 0, {}}});
 }
 
-// Connections break now and then at a destination that is above its limit: it is up all the while.
-TEST(Outage, ARefusalBetweenFailuresShowsThatTheDestinationLives) {
+// A destination above its limit resets some connections and refuses other calls, but it is up.
+TEST(Outages, ARefusalBetweenFailuresShowsALiveDestination) {
   for (const Outcome between : {Outcome::kReset, Outcome::kFull}) {
     Relay relay(plain_settings());
     relay.step(0, {members({member(1)})});
@@ -1028,8 +1036,8 @@
   }
 }
 
-// Told waits of a limit, one after the other, are no sign of a shut destination; one long wait is.
-TEST(Outage, OnlyOneLongWaitTellsOfAShutDestination) {
+// Short retry-afters in a row come from a limit; a single long one shows that the destination is closed.
+TEST(Outages, OnlyALongRetryAfterStartsAnOutage) {
   for (const Time wait : {kSecond, 4 * kSecond}) {
     Relay relay(plain_settings());
     relay.step(0, {members({member(1)})});
@@ -1048,11 +1056,11 @@
   }
 }
 
-TEST(Refusal, TellsWhenToComeAgainWhereThatIsHeard) {
-  for (const bool heard : {true, false}) {
+TEST(Refusal, CarriesRetryAfterWhereClientsUseIt) {
+  for (const bool uses_retry_after : {true, false}) {
     Settings settings = plain_settings();
     settings.max_attempts = 1;
-    settings.retry_after_heard = heard;
+    settings.retry_after_heard = uses_retry_after;
     settings.max_retry_after = 3 * kSecond;
     Relay relay(settings);
     relay.step(0, {members({member(1)})});
@@ -1061,12 +1069,12 @@
     const auto refused =
         all_of<Refuse>(relay.step(100'000, {ended(sends[0], 0, Outcome::kFull, 100'000, kSecond)}));
     ASSERT_EQ(refused.size(), 1u);  // at once
-    EXPECT_EQ(refused[0].retry_after >= kSecond && refused[0].retry_after <= 3 * kSecond, heard);
+    EXPECT_EQ(refused[0].retry_after >= kSecond && refused[0].retry_after <= 3 * kSecond, uses_retry_after);
   }
 }
 
-// Another process of this relay was told to wait.
-TEST(Upgrade, HeedsAWaitThatAnotherProcessWasTold) {
+// Another process of this relay received a retry-after.
+TEST(Upgrade, AppliesARetryAfterThatAnotherProcessReceived) {
   Relay relay(plain_settings());
   const Time t = 100 * kSecond;
   const Event wait = WaitTold{1, {}, t + kSecond};
@@ -1076,8 +1084,8 @@
   EXPECT_EQ(all_of<Send>(relay.idle(t + kSecond, t + 2 * kSecond)).size(), 1u);
 }
 
-// What the old process had tried already is repeated after a pause here, as it would have been there.
-TEST(Upgrade, ARepeatTakenOverWaitsItsPause) {
+// A message that the old process had already attempted is retried after a pause, as the old process would do.
+TEST(Upgrade, AResumedRetryWaitsItsPause) {
   Relay relay(plain_settings());
   const Time t = 100 * kSecond;
   Arrival in = relay.message(1, t);
@@ -1087,11 +1095,12 @@
   EXPECT_EQ(all_of<Send>(relay.idle(t, t + kSecond)).size(), 1u);
 }
 
-// Classes shift, one goes, and attempts become fewer: an open message keeps the rules that it came under.
-TEST(Retuning, OpenMessagesKeepTheirRules) {
+// A class is removed, which shifts the indices of the others, and max_attempts is lowered: an open message
+// keeps the rules of the settings under which it arrived.
+TEST(SettingsChange, OpenMessagesKeepTheirRules) {
   Settings old = plain_settings();
   Settings next = old;
-  next.classes.erase(next.classes.begin());  // the safe one; the unsafe one has its number now
+  next.classes.erase(next.classes.begin());  // removes the safe class: index 0 is the unsafe one now
   next.max_attempts = 1;
   Policy policy(old, 1);
   Time t = 100 * kSecond;
@@ -1114,7 +1123,7 @@
   t += 100'000;
   step({ended(first, 0, Outcome::kError), ended(second, 0, Outcome::kError)});
   ASSERT_EQ(all_of<Fail>(done).size(), 1u);
-  EXPECT_EQ(all_of<Fail>(done)[0].id, 2u);  // unsafe, and it may have run
+  EXPECT_EQ(all_of<Fail>(done)[0].id, 2u);  // unsafe, and it may have been executed
   t += kSecond;
   step({});
   EXPECT_EQ(all_of<Send>(done).at(0).id, 1u);  // safe, with attempts left
--- a/tests/resumed_test.cpp
+++ b/tests/resumed_test.cpp
@@ -1,4 +1,4 @@
-// What a restart finds untried is still tried, whatever else comes.
+// A message that was resumed after a restart and never attempted is still attempted, whatever else arrives.
 #include <set>
 
 #include "relay.h"
@@ -6,8 +6,8 @@
 namespace firspool::testing {
 namespace {
 
-// The relay is full of messages from before, and new ones of ten times the worth keep coming.
-TEST(Resumed, UntriedOnesAreNotGivenUpForNewOnes) {
+// The relay is full of resumed messages, and new ones of ten times their value keep arriving.
+TEST(Resumed, UntriedMessagesAreNotRefusedForNewOnes) {
   Settings s = plain_settings();
   s.classes[1].effect = Effect::kSafe;
   s.classes[1].worth = 10;
@@ -24,7 +24,7 @@
   }
   uint64_t id = 100;
   std::map<uint64_t, int> attempts;
-  size_t turned_away = 0;
+  size_t refused = 0;
   for (Time now = 0; now < 15 * kSecond; now += 100'000) {
     for (int i = 0; i < 5; ++i) events.push_back(relay.message(++id, now, 1));
     const auto actions = relay.step(now, events);
@@ -35,14 +35,14 @@
     }
     for (const Refuse& refuse : all_of<Refuse>(actions)) {
       EXPECT_FALSE(untried.contains(refuse.id)) << refuse.id << " at " << now;
-      ++turned_away;
+      ++refused;
     }
   }
-  EXPECT_GT(turned_away, 0u);
+  EXPECT_GT(refused, 0u);
 }
 
-// A cold start alone, with a queue that seems too long, gives none of them up early.
-TEST(Resumed, UntriedOnesOutlastAQueueThatSeemsTooLong) {
+// Right after a restart the queue is estimated to be too long: resumed messages are not refused for that.
+TEST(Resumed, UntriedMessagesAreNotRefusedForALongQueue) {
   Settings s = plain_settings();
   s.relays = 300;
   s.weights = Weights::kNominal;
