--- a/src/outages.h
+++ b/src/outages.h
@@ -108,7 +108,7 @@
     const int overdue = std::exchange(c.overdue, 0);
     if (c.outage_since != 0) {
       if (c.in_outage() || s_.now - c.recovered_since < s_.settings.cold) return true;
-      log(c, "warmed up");
+      log(c, "warm");
       c.outage_since = 0;
       s_.outage_changed(c.key.first);
       return true;
--- a/src/state.h
+++ b/src/state.h
@@ -18,7 +18,7 @@
 constexpr int kRetryBudgetCap = 10 * kRetryCost;  // full at the start: ten retries for a short failure
 
 constexpr Time kMaxPause = 250 * kMs;  // of the random pauses that keep relays and retries out of step
-constexpr double kMinLateSuccessRatio = 0.35;  // below it overdue calls are cancelled when slots are short
+constexpr double kMinLateSuccessRatio = 0.35;  // below it overdue calls count as lost, not as slow
 
 // The share of a capacity that the fleet granted to this relay. Its bucket starts empty, so that moving
 // capacity from one relay to another never lets both spend it.
@@ -49,7 +49,8 @@
   Time connection_idle = 0;  // how long its connection had been idle; 0: a new connection, or one in use
 };
 
-struct Message : Arrival {          // its inherited attempts and execution state are updated later
+// The inherited attempt count and execution state also cover the attempts made here.
+struct Message : Arrival {
   Time target = 0, not_before = 0;  // target: the message keeps its full value until then
   double value = 0;
   bool in_flight = false, released = false;
@@ -74,13 +75,13 @@
   Time limit_reported_at = kNever;
   bool follows_reports = false;  // pacing_rate is set by reports on the limit, not by own refusals
   bool reachable = false;        // at least one of its endpoints is listed as ready
-  TokenBucket bucket;            // paces sends by pacing_rate
-  TokenBucket recovery_bucket;   // paces sends during an outage and while warming up after it
-  double headroom = 1;           // mean unused share of the limit, from reports or from refusals
-  bool rate_limited = false;     // a message waited for pacing_rate since the last served call
-  int unserved_streak = 0;       // calls in a row that were refused or failed
-  int connect_failures = 0;      // calls that got no connection since the last served one
-  int overdue = 0;          // calls in flight past the suspicious age with none served since, in this step
+  // bucket paces sends by pacing_rate, recovery_bucket those during an outage and while warming up after it.
+  TokenBucket bucket, recovery_bucket;
+  double headroom = 1;        // mean unused share of the limit, from reports or from refusals
+  bool rate_limited = false;  // a message waited for pacing_rate since the last served call
+  int unserved_streak = 0;    // calls in a row that were refused or failed
+  int connect_failures = 0;   // calls that got no connection since the last served one
+  int overdue = 0;            // calls in flight past the suspicious age with none served since, in this step
   int fail_streak = 0;      // calls in a row that failed; a refusal ends the row, as it shows a live endpoint
   Time unserved_since = 0;  // send time of the first unserved call that no limit explains
   Time failing_since = 0;   // send time of the first call of fail_streak
