--- a/fleet/agreement.cpp
+++ b/fleet/agreement.cpp
@@ -1,175 +1,178 @@
-// What goes in and out: between relays, time, the settings. agreement_relay.cpp, leadership.cpp,
-// agreement_founding.cpp, agreement_staff.cpp and agreement_file.cpp have the parts.
+// The agreement's entry points: start, timer, datagrams, settings and shutdown. The other parts are in
+// agreement_relay.cpp, agreement_bootstrap.cpp, agreement_operator.cpp, agreement_file.cpp and
+// leadership.cpp.
 #include "agreement.h"
 
 #include <algorithm>
 
-#include "agreement_parts.h"
+#include "agreement_internal.h"
 
 namespace umberhoist::fleet {
 namespace {
 
 constexpr uint64_t kAgreementProtocol = 1;
-constexpr size_t kAppendRest = 64 * 1024;
+constexpr size_t kAppendAllowanceBytes = 64 * 1024;
 
 }  // namespace
 
 using nlohmann::json;
 
 Agreement::Agreement(Settings settings, std::string_view file, uint64_t seed)
-    : settings_(std::move(settings)), chance_(seed, 23) {
+    : settings_(std::move(settings)), rng_(seed, 23) {
   try {
     load(file);
   } catch (const Bad&) {
-    broken_ = "a record does not read";
+    failure_ = "a record is malformed";
   }
-  life_ = draw();
+  incarnation_ = random_id();
 }
 
 void Agreement::start(Time now) {
-  if (!broken_.empty()) {
-    word("policy_broken",
-         "the record of the fleet's policy cannot be used: " + broken_ + "; this relay stays out");
+  if (!failure_.empty()) {
+    log("policy_broken",
+        "the records of the fleet's policy cannot be used: " + failure_ + "; this relay accepts no messages");
     return;
   }
-  if (nonce_ == 0) {
-    nonce_ = draw();
-    compacted();
+  if (folder_id_ == 0) {
+    folder_id_ = random_id();
+    rewrite_records();
   } else if (torn_) {
-    compacted();
+    rewrite_records();
   }
-  if (settings_.plant == Plant::kLeaseKept && kept_lease_ > now)
-    out_.push_back(Door{lease_until_ = kept_lease_});
-  if (held_.version > 0) cannot_ = clipped(settings_.check(held_.text), kMostReason);
-  if (founding_ && stored_.term > 0) start_log(now, std::exchange(stored_, {}));
-  renew_at_ = now;
-  woke(now);
+  if (settings_.injected_fault == InjectedFault::kLeaseSurvivesRestart && restored_lease_ > now)
+    outputs_.push_back(Admission{lease_expires_at_ = restored_lease_});
+  if (policy_.version > 0)
+    unsupported_reason_ = truncated(settings_.check_policy(policy_.text), kMaxReasonBytes);
+  if (bootstrap_ && stored_raft_.term > 0) start_raft(now, std::exchange(stored_raft_, {}));
+  next_renewal_ = now;
+  on_timer(now);
 }
 
-Time Agreement::next() const {
-  if (!broken_.empty()) return kNever;
-  return std::min(renew_at_, raft_ ? raft_->next() : kNever);
+Time Agreement::next_wakeup() const {
+  if (!failure_.empty()) return kNever;
+  return std::min(next_renewal_, raft_ ? raft_->next_wakeup() : kNever);
 }
 
-void Agreement::woke(Time now) {
-  if (!broken_.empty()) return;
+void Agreement::on_timer(Time now) {
+  if (!failure_.empty()) return;
   if (raft_) {
-    raft_->woke(now);
-    if (!raft_->failed().empty()) {
-      broken_ = raft_->failed();
-      word("policy_broken", "the replicated log of the fleet's policy has failed: " + broken_);
-      shut("its log has failed");
+    raft_->on_timer(now);
+    if (!raft_->failure().empty()) {
+      failure_ = raft_->failure();
+      log("policy_broken", "the replicated log of the fleet's policy has failed: " + failure_);
+      close_admission("its replicated log has failed");
       return;
     }
   }
-  if (now >= renew_at_) {
-    if (!founding_ && std::ranges::find(settings_.voters, settings_.name) != settings_.voters.end()) {
-      found(now);
+  if (now >= next_renewal_) {
+    if (!bootstrap_ && std::ranges::find(settings_.voters, settings_.name) != settings_.voters.end()) {
+      try_bootstrap(now);
       for (const std::string& name : settings_.voters) {
-        if (!founding_ && name != settings_.name) send(name, "fresh", nonce_);
+        if (!bootstrap_ && name != settings_.name) send(name, "fresh", folder_id_);
       }
     }
-    renew(now);
-    renew_at_ = now + (change_ ? settings_.period / 2 : settings_.period);
+    renew_lease(now);
+    next_renewal_ = now + (change_ ? settings_.renewal_period / 2 : settings_.renewal_period);
   }
-  if (lease_until_ > 0 && now > lease_until_) {
-    shut(heard_ < 0 ? "no leader was heard yet"
-                    : "not heard for " + ms_text(settings_.term) + " that version " +
-                          std::to_string(held_.version) + " is the newest");
+  if (lease_expires_at_ > 0 && now > lease_expires_at_) {
+    close_admission(last_received_ < 0
+                        ? "no leader was heard yet"
+                        : "no confirmation for " + format_ms(settings_.lease_duration) + " that version " +
+                              std::to_string(policy_.version) + " is the newest");
   }
-  if (leadership_) leadership_->lead(now);
-  if (appended_ > 4 * held_.text.size() + kAppendRest) compacted();
+  if (leadership_) leadership_->advance(now);
+  if (appended_bytes_ > 4 * policy_.text.size() + kAppendAllowanceBytes) rewrite_records();
 }
 
 void Agreement::send(const std::string& to, const char* kind, json body) {
-  out_.push_back(Send{to, to_cbor({kAgreementProtocol, settings_.cluster, kind, founding_ ? founding_->id : 0,
-                                   std::move(body)})});
+  outputs_.push_back(Send{to, to_cbor({kAgreementProtocol, settings_.cluster, kind,
+                                       bootstrap_ ? bootstrap_->id : 0, std::move(body)})});
 }
 
-void Agreement::carry(const std::string& to, json message) { send(to, "raft", std::move(message)); }
+void Agreement::send_message(const std::string& to, json message) { send(to, "raft", std::move(message)); }
 
-uint64_t Agreement::own_id() const { return server_id(settings_.name, nonce_); }
+uint64_t Agreement::own_server_id() const { return server_id(settings_.name, folder_id_); }
 
-uint64_t Agreement::draw() { return std::max<uint64_t>(1, (uint64_t{chance_()} << 32) | chance_()); }
+uint64_t Agreement::random_id() { return std::max<uint64_t>(1, (uint64_t{rng_()} << 32) | rng_()); }
 
 std::vector<std::string> Agreement::contacts() const {
   std::set<std::string> out(settings_.voters.begin(), settings_.voters.end());
-  out.insert(told_voters_.begin(), told_voters_.end());
+  out.insert(known_voters_.begin(), known_voters_.end());
   out.erase(settings_.name);
   return {out.begin(), out.end()};
 }
 
-void Agreement::received(Time now, const std::string& from, std::string_view bytes) {
-  if (!broken_.empty()) return;
+void Agreement::on_datagram(Time now, const std::string& from, std::string_view bytes) {
+  if (!failure_.empty()) return;
   try {
     const json m = from_cbor(bytes);
     want(number_of(at(m, 0)) == kAgreementProtocol && text_of(at(m, 1), kMostName) == settings_.cluster);
     const std::string kind = text_of(at(m, 2), kMostName);
-    const uint64_t founding = number_of(at(m, 3));
+    const uint64_t bootstrap_id = number_of(at(m, 3));
     const json& body = at(m, 4);
     if (kind == "fresh") {
-      const uint64_t nonce = number_of(body);
-      if (founding_ && !founding_->voters.empty()) {
-        send(from, "founded", founding_->record());
-      } else if (!founding_) {
-        fresh_[from] = {nonce, now};
-        found(now);
+      const uint64_t folder_id = number_of(body);
+      if (bootstrap_ && !bootstrap_->voters.empty()) {
+        send(from, "founded", bootstrap_->to_record());
+      } else if (!bootstrap_) {
+        fresh_voters_[from] = {folder_id, now};
+        try_bootstrap(now);
       }
     } else if (kind == "founded") {
-      founded(now, Founding::of(body));
+      on_bootstrap(now, Bootstrap::from_record(body));
     } else if (kind == "raft") {
-      if (!founding_ || founding_->id != founding) return;
-      if (!raft_) start_log(now, {});
-      raft_->received(now, body);
+      if (!bootstrap_ || bootstrap_->id != bootstrap_id) return;
+      if (!raft_) start_raft(now, {});
+      raft_->on_message(now, body);
     } else if (kind == "renew") {
-      Renew r = Renew::of(body);
-      if (founding != 0 && founding_ && founding != founding_->id) return;
+      LeaseRenewal r = LeaseRenewal::decode(body);
+      if (bootstrap_id != 0 && bootstrap_ && bootstrap_id != bootstrap_->id) return;
       want(r.via.empty() ? r.origin == from : r.via == from);
-      if (std::ranges::find(settings_.names, r.origin) == settings_.names.end()) return;
-      if (leads()) {
-        const Grant g = leadership_->answer(now, r);
-        send(from, "grant", g.packed());
+      if (std::ranges::find(settings_.relays, r.origin) == settings_.relays.end()) return;
+      if (is_leader()) {
+        const LeaseGrant g = leadership_->handle_renewal(now, r);
+        send(from, "grant", g.encode());
       } else if (const std::string leader = raft_ ? raft_->leader() : "";
                  r.via.empty() && !leader.empty() && leader != settings_.name && leader != r.origin) {
         r.via = settings_.name;
-        send(leader, "renew", r.packed());
+        send(leader, "renew", r.encode());
         send(from, "elsewhere", leader);
       }
     } else if (kind == "grant") {
-      Grant g = Grant::of(body);
-      g.founding = founding;
+      LeaseGrant g = LeaseGrant::decode(body);
+      g.bootstrap_id = bootstrap_id;
       if (g.to != settings_.name) {
         if (g.via == settings_.name) send(g.to, "grant", body);
       } else {
-        through_ = from;
-        granted(now, g);
+        next_hop_ = from;
+        on_grant(now, g);
       }
     } else if (kind == "elsewhere") {
       const std::string leader = text_of(body, kMostName);
-      const bool known = leader == through_;
-      if (heard_ < 0 || now - heard_ > 2 * settings_.period) through_ = leader;
-      if (!known && leader != settings_.name) send(leader, "renew", make_renew(now).packed());
+      const bool known = leader == next_hop_;
+      if (last_received_ < 0 || now - last_received_ > 2 * settings_.renewal_period) next_hop_ = leader;
+      if (!known && leader != settings_.name) send(leader, "renew", make_renewal(now).encode());
     } else {
       throw Bad{};
     }
   } catch (const Bad&) {
-    ++unreadable_;
+    ++malformed_messages_;
   }
-  if (leadership_) leadership_->lead(now);
+  if (leadership_) leadership_->advance(now);
 }
 
-void Agreement::configure(Time now, std::vector<std::string> names, std::vector<std::string> voters) {
-  if (leadership_) leadership_->configure(now, names);
-  settings_.names = std::move(names);
+void Agreement::configure(Time now, std::vector<std::string> relays, std::vector<std::string> voters) {
+  if (leadership_) leadership_->configure(now, relays);
+  settings_.relays = std::move(relays);
   settings_.voters = std::move(voters);
 }
 
 void Agreement::leave(Time now) {
-  if (!broken_.empty() || leaving_) return;
+  if (!failure_.empty() || leaving_) return;
   leaving_ = true;
-  shut("it leaves");
-  renew(now);
-  if (raft_) raft_->transfer();
+  close_admission("it is shutting down");
+  renew_lease(now);
+  if (raft_) raft_->transfer_leadership();
 }
 
 }  // namespace umberhoist::fleet
--- a/fleet/agreement_file.cpp
+++ b/fleet/agreement_file.cpp
@@ -1,11 +1,11 @@
-// The folder's records: read at the start, and each written before anything follows from it.
+// The records in the folder: read at start; each is written before anything that depends on it is sent.
 #include "agreement.h"
 #include "records.h"
 
 namespace umberhoist::fleet {
 namespace {
 
-constexpr uint64_t kFormat = 1;  // of the file
+constexpr uint64_t kFileFormat = 1;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
 void Agreement::load(std::string_view file) {
   const Records records = read_records(file);
   if (records.end == Records::End::kCorrupt) {
-    broken_ = "the record at byte " + std::to_string(records.whole) + " fails its checksum";
+    failure_ = "the record at byte " + std::to_string(records.whole) + " fails its checksum";
     return;
   }
   torn_ = records.end == Records::End::kTorn;
@@ -22,25 +22,25 @@
     const json r = from_cbor(body);
     const std::string tag = text_of(at(r, 0), kMostName);
     if (tag == "format") {
-      if (number_of(at(r, 1)) <= kFormat) continue;
-      broken_ = "it was written by a newer version of the program";
+      if (number_of(at(r, 1)) <= kFileFormat) continue;
+      failure_ = "it was written by a newer version of the program";
       return;
     }
     if (tag == "folder") {
-      nonce_ = number_of(at(r, 1));
+      folder_id_ = number_of(at(r, 1));
     } else if (tag == "founding") {
-      founding_ = Founding::of(r);
+      bootstrap_ = Bootstrap::from_record(r);
     } else if (tag == "voters") {
-      told_voters_.clear();
-      for (const json& name : at(r, 1)) told_voters_.insert(text_of(name, kMostName));
+      known_voters_.clear();
+      for (const json& name : at(r, 1)) known_voters_.insert(text_of(name, kMostName));
     } else if (tag == "policy") {
-      held_ = {number_of(at(r, 1)), text_of(at(r, 2), kMostId), text_of(at(r, 3), kMostPolicy)};
+      policy_ = {number_of(at(r, 1)), text_of(at(r, 2), kMaxIdBytes), text_of(at(r, 3), kMaxPolicyBytes)};
     } else if (tag == "yes") {
-      yes_ = text_of(at(r, 1), kMostId);
+      accepted_change_id_ = text_of(at(r, 1), kMaxIdBytes);
     } else if (tag == "lease") {
-      kept_lease_ = static_cast<Time>(number_of(at(r, 1)));
+      restored_lease_ = static_cast<Time>(number_of(at(r, 1)));
     } else {
-      want(stored_.take(r));
+      want(stored_raft_.apply_record(r));
     }
   }
 }
@@ -50,35 +50,35 @@
   try {
     for (const std::string& body : read_records(file).bodies) {
       const json r = from_cbor(body);
-      if (text_of(at(r, 0), kMostName) == "policy") out = text_of(at(r, 3), kMostPolicy);
+      if (text_of(at(r, 0), kMostName) == "policy") out = text_of(at(r, 3), kMaxPolicyBytes);
     }
   } catch (const Bad&) {
   }
   return out;
 }
 
-std::string Agreement::whole_file() const {
-  std::vector<json> records = {json::array({"format", kFormat}), json::array({"folder", nonce_})};
-  if (founding_) records.push_back(founding_->record());
-  if (!told_voters_.empty()) records.push_back(json::array({"voters", told_voters_}));
-  if (held_.version > 0) records.push_back({"policy", held_.version, held_.id, held_.text});
-  if (!yes_.empty()) records.push_back(json::array({"yes", yes_}));
-  const auto log = raft_ ? raft_->records() : stored_.records();
-  records.insert(records.end(), log.begin(), log.end());
+std::string Agreement::encode_file() const {
+  std::vector<json> records = {json::array({"format", kFileFormat}), json::array({"folder", folder_id_})};
+  if (bootstrap_) records.push_back(bootstrap_->to_record());
+  if (!known_voters_.empty()) records.push_back(json::array({"voters", known_voters_}));
+  if (policy_.version > 0) records.push_back({"policy", policy_.version, policy_.id, policy_.text});
+  if (!accepted_change_id_.empty()) records.push_back(json::array({"yes", accepted_change_id_}));
+  const auto raft_records = raft_ ? raft_->records() : stored_raft_.records();
+  records.insert(records.end(), raft_records.begin(), raft_records.end());
   std::string out;
   for (const json& r : records) out += framed(to_cbor(r));
   return out;
 }
 
-void Agreement::record(json record) {
+void Agreement::append_record(json record) {
   std::string bytes = framed(to_cbor(record));
-  appended_ += bytes.size();
-  out_.push_back(Write{std::move(bytes), false});
+  appended_bytes_ += bytes.size();
+  outputs_.push_back(Write{std::move(bytes), false});
 }
 
-void Agreement::compacted() {
-  appended_ = 0;
-  out_.push_back(Write{whole_file(), true});
+void Agreement::rewrite_records() {
+  appended_bytes_ = 0;
+  outputs_.push_back(Write{encode_file(), true});
 }
 
 }  // namespace umberhoist::fleet
--- a/fleet/agreement_messages.cpp
+++ b/fleet/agreement_messages.cpp
@@ -5,13 +5,14 @@
 
 using nlohmann::json;
 
-class Fields {  // of a list, one after another
+// Reads the fields of a list in order.
+class Fields {
  public:
   explicit Fields(const json& list) : list_(list) {}
   const json& any() { return at(list_, next_++); }
-  std::string text(size_t most) { return text_of(any(), most); }
+  std::string text(size_t max_bytes) { return text_of(any(), max_bytes); }
   uint64_t number() { return number_of(any()); }
-  std::string ride() { return next_ < list_.size() ? bytes_in(any()) : std::string(); }
+  std::string piggyback() { return next_ < list_.size() ? bytes_in(any()) : std::string(); }
   bool flag() {
     const json& value = any();
     want(value.is_boolean());
@@ -29,108 +30,125 @@
   return out;
 }
 
-Change change_of(Fields in, bool& with_text) {
+Change decode_change(Fields in, bool& has_text) {
   Change out;
-  out.id = in.text(kMostId);
-  out.by = in.text(kMostName);
-  out.base = in.number();
+  out.id = in.text(kMaxIdBytes);
+  out.proposed_by = in.text(kMostName);
+  out.base_version = in.number();
   out.wall_ms = in.number();
-  out.text = in.text(kMostPolicy);
-  with_text = in.flag();
+  out.text = in.text(kMaxPolicyBytes);
+  has_text = in.flag();
   return out;
 }
 
 }  // namespace
 
-json Founding::record() const {
+json Bootstrap::to_record() const {
   json list = json::array();
-  for (const auto& [name, nonce] : voters) list.push_back({name, nonce});
+  for (const auto& [name, folder_id] : voters) list.push_back({name, folder_id});
   return {"founding", id, list};
 }
 
-Founding Founding::of(const json& record) {
-  Founding out{number_of(at(record, 1)), {}};
+Bootstrap Bootstrap::from_record(const json& record) {
+  Bootstrap out{number_of(at(record, 1)), {}};
   for (const json& v : at(record, 2)) {
     out.voters.emplace_back(text_of(at(v, 0), kMostName), number_of(at(v, 1)));
   }
   return out;
 }
 
-json Renew::packed() const {
-  json out = {origin,  via,    life,   nonce,  number, program, raft_term, echo_term, echo_stamp,
-              version, digest, cannot, answer, no,     leaving, ended,     ask};
-  if (!ride.empty()) out.push_back(bytes_of(ride));
+json LeaseRenewal::encode() const {
+  json out = {origin,
+              via,
+              incarnation,
+              folder_id,
+              number,
+              program_version,
+              raft_term,
+              echo_term,
+              echo_timestamp,
+              version,
+              digest,
+              unsupported_reason,
+              answered_change_id,
+              rejection_reason,
+              leaving,
+              ended_count,
+              request};
+  if (!piggyback.empty()) out.push_back(bytes_of(piggyback));
   return out;
 }
 
-Renew Renew::of(const json& from) {
+LeaseRenewal LeaseRenewal::decode(const json& from) {
   Fields in(from);
-  Renew out;
+  LeaseRenewal out;
   out.origin = in.text(kMostName);
   out.via = in.text(kMostName);
-  out.life = in.number();
-  out.nonce = in.number();
+  out.incarnation = in.number();
+  out.folder_id = in.number();
   out.number = in.number();
-  out.program = in.text(kMostName);
+  out.program_version = in.text(kMostName);
   out.raft_term = in.number();
   out.echo_term = in.number();
-  out.echo_stamp = in.number();
+  out.echo_timestamp = in.number();
   out.version = in.number();
   out.digest = in.number();
-  out.cannot = in.text(kMostReason);
-  out.answer = in.text(kMostId);
-  out.no = in.text(kMostReason);
+  out.unsupported_reason = in.text(kMaxReasonBytes);
+  out.answered_change_id = in.text(kMaxIdBytes);
+  out.rejection_reason = in.text(kMaxReasonBytes);
   out.leaving = in.flag();
-  out.ended = in.number();
-  out.ask = in.any();
-  out.ride = in.ride();
+  out.ended_count = in.number();
+  out.request = in.any();
+  out.piggyback = in.piggyback();
   return out;
 }
 
-json Grant::packed() const {
+json LeaseGrant::encode() const {
   json c, ends = json::array();
-  if (change) c = {change->id, change->by, change->base, change->wall_ms, change->text, change_text};
-  for (const Outcome& o : outcomes) ends.push_back(fleet::packed(o));
-  json out = {leader,  via,
-              to,      life,
-              number,  term,
-              stamp,   static_cast<uint64_t>(lease),
-              version, digest,
-              id,      text ? json(*text) : json(nullptr),
-              c,       busy,
-              ended,   ends,
-              voters,  list_of(waiting)};
-  if (!ride.empty()) out.push_back(bytes_of(ride));
+  if (change)
+    c = {change->id,      change->proposed_by, change->base_version,
+         change->wall_ms, change->text,        has_change_text};
+  for (const Outcome& o : outcomes) ends.push_back(fleet::encode(o));
+  json out = {leader,      via,
+              to,          incarnation,
+              number,      leader_term,
+              timestamp,   static_cast<uint64_t>(lease_duration),
+              version,     digest,
+              id,          text ? json(*text) : json(nullptr),
+              c,           pending_change_id,
+              ended_count, ends,
+              voters,      list_of(waiting_for)};
+  if (!piggyback.empty()) out.push_back(bytes_of(piggyback));
   return out;
 }
 
-Grant Grant::of(const json& from) {
+LeaseGrant LeaseGrant::decode(const json& from) {
   Fields in(from);
-  Grant out;
+  LeaseGrant out;
   out.leader = in.text(kMostName);
   out.via = in.text(kMostName);
   out.to = in.text(kMostName);
-  out.life = in.number();
+  out.incarnation = in.number();
   out.number = in.number();
-  out.term = in.number();
-  out.stamp = in.number();
-  const uint64_t lease = in.number();
-  want(lease <= 3600u * kSecond);
-  out.lease = static_cast<Time>(lease);
+  out.leader_term = in.number();
+  out.timestamp = in.number();
+  const uint64_t duration = in.number();
+  want(duration <= 3600u * kSecond);
+  out.lease_duration = static_cast<Time>(duration);
   out.version = in.number();
   out.digest = in.number();
-  out.id = in.text(kMostId);
-  if (const json& text = in.any(); !text.is_null()) out.text = text_of(text, kMostPolicy);
-  if (const json& c = in.any(); !c.is_null()) out.change = change_of(Fields(c), out.change_text);
-  out.busy = in.text(kMostId);
-  out.ended = in.number();
-  for (const json& o : in.any()) out.outcomes.push_back(outcome_of(o));
+  out.id = in.text(kMaxIdBytes);
+  if (const json& text = in.any(); !text.is_null()) out.text = text_of(text, kMaxPolicyBytes);
+  if (const json& c = in.any(); !c.is_null()) out.change = decode_change(Fields(c), out.has_change_text);
+  out.pending_change_id = in.text(kMaxIdBytes);
+  out.ended_count = in.number();
+  for (const json& o : in.any()) out.outcomes.push_back(decode_outcome(o));
   for (const json& v : in.any()) out.voters.insert(text_of(v, kMostName));
   for (const json& w : in.any()) {
-    out.waiting.emplace_back(text_of(at(w, 0), kMostName), text_of(at(w, 1), kMostReason));
+    out.waiting_for.emplace_back(text_of(at(w, 0), kMostName), text_of(at(w, 1), kMaxReasonBytes));
   }
-  out.ride = in.ride();
-  want(out.outcomes.size() <= PolicyLog::kMostOutcomes && out.waiting.size() <= kMostWaiting + 1);
+  out.piggyback = in.piggyback();
+  want(out.outcomes.size() <= PolicyLog::kMaxOutcomes && out.waiting_for.size() <= kMaxWaitingFor + 1);
   return out;
 }
 
--- a/fleet/agreement_relay.cpp
+++ b/fleet/agreement_relay.cpp
@@ -1,167 +1,181 @@
-// A relay's part: it renews its lease, takes hold of the version in force, says yes or no to a change, and
-// keeps its door.
+// The relay's side of the agreement: renews its lease, applies the version in force, accepts or rejects a
+// change, and opens and closes the admission of messages.
 #include <algorithm>
 
 #include "agreement.h"
-#include "agreement_parts.h"
+#include "agreement_internal.h"
 
 namespace umberhoist::fleet {
 namespace {
 
-constexpr size_t kMostSent = 32;
+constexpr size_t kMaxSentRenewals = 32;
 
 }  // namespace
 
 using nlohmann::json;
 
-void Agreement::shut(const std::string& why) {
-  if (lease_until_ > 0) {
-    out_.push_back(Door{0});
-    word("policy_fenced", "takes on nothing new: " + why);
+void Agreement::close_admission(const std::string& why) {
+  if (lease_expires_at_ > 0) {
+    outputs_.push_back(Admission{0});
+    log("policy_fenced", "accepts no new messages: " + why);
   }
-  lease_until_ = 0;
-  closed_ = why;
+  lease_expires_at_ = 0;
+  closed_reason_ = why;
 }
 
-Renew Agreement::make_renew(Time now) {
-  Renew r;
+LeaseRenewal Agreement::make_renewal(Time now) {
+  LeaseRenewal r;
   r.origin = settings_.name;
-  r.life = life_;
-  r.nonce = nonce_;
-  r.number = ++number_;
-  r.program = clipped(settings_.program, kMostName);
+  r.incarnation = incarnation_;
+  r.folder_id = folder_id_;
+  r.number = ++renewal_number_;
+  r.program_version = truncated(settings_.program_version, kMostName);
   r.raft_term = raft_ ? raft_->term() : 0;
   r.echo_term = leader_term_;
-  r.echo_stamp = leader_stamp_;
-  r.version = held_.version;
-  r.digest = digest_of(held_.text);
-  r.cannot = cannot_;
-  r.answer = answer_;
-  r.no = no_;
+  r.echo_timestamp = leader_timestamp_;
+  r.version = policy_.version;
+  r.digest = digest_of(policy_.text);
+  r.unsupported_reason = unsupported_reason_;
+  r.answered_change_id = answered_change_id_;
+  r.rejection_reason = rejection_reason_;
   r.leaving = leaving_;
-  r.ended = ended_;
-  if (ask_ && !ask_->given_up) {
-    r.ask = ask_->body;
-    ask_->told_term = leader_term_;
-    ask_->told_stamp = leader_stamp_;
+  r.ended_count = ended_count_;
+  if (request_ && !request_->timed_out) {
+    r.request = request_->body;
+    request_->sent_term = leader_term_;
+    request_->sent_timestamp = leader_timestamp_;
   }
-  if (settings_.rider != nullptr) r.ride = settings_.rider->ask(now);
-  sent_[number_] = now;
-  if (sent_.size() > kMostSent) sent_.erase(sent_.begin());
+  if (settings_.piggyback != nullptr) r.piggyback = settings_.piggyback->ask(now);
+  sent_renewals_[renewal_number_] = now;
+  if (sent_renewals_.size() > kMaxSentRenewals) sent_renewals_.erase(sent_renewals_.begin());
   return r;
 }
 
-// To who passed the last grant on, or to all that may know the leader.
-void Agreement::renew(Time now) {
-  if (ask_ && !ask_->given_up && now - ask_->since > 2 * settings_.term) ask_->given_up = true;
-  if (leads()) {
-    Grant g = leadership_->answer(now, make_renew(now));
-    g.founding = founding_->id;
-    through_ = settings_.name;
-    return granted(now, g);
+// Sends a renewal to the sender of the last grant, or to all that may know the leader if there was no recent
+// one.
+void Agreement::renew_lease(Time now) {
+  if (request_ && !request_->timed_out && now - request_->since > 2 * settings_.lease_duration)
+    request_->timed_out = true;
+  if (is_leader()) {
+    LeaseGrant g = leadership_->handle_renewal(now, make_renewal(now));
+    g.bootstrap_id = bootstrap_->id;
+    next_hop_ = settings_.name;
+    return on_grant(now, g);
   }
-  const bool lost = heard_ < 0 || now - heard_ > 2 * settings_.period || through_ == settings_.name;
-  const json body = make_renew(now).packed();
-  if (!lost) return send(through_, "renew", body);
+  const bool lost = last_received_ < 0 || now - last_received_ > 2 * settings_.renewal_period ||
+                    next_hop_ == settings_.name;
+  const json body = make_renewal(now).encode();
+  if (!lost) return send(next_hop_, "renew", body);
   for (const std::string& name : contacts()) send(name, "renew", body);
 }
 
-void Agreement::granted(Time now, const Grant& g) {
-  const auto sent = sent_.find(g.number);
-  if (g.life != life_ || sent == sent_.end() || g.term < leader_term_) return;
-  const Time asked = sent->second;
-  if (founding_ && g.founding != 0 && founding_->id != g.founding) {
-    return shut("the fleet was founded anew without this folder");
+void Agreement::on_grant(Time now, const LeaseGrant& g) {
+  const auto sent = sent_renewals_.find(g.number);
+  if (g.incarnation != incarnation_ || sent == sent_renewals_.end() || g.leader_term < leader_term_) return;
+  const Time sent_at = sent->second;
+  if (bootstrap_ && g.bootstrap_id != 0 && bootstrap_->id != g.bootstrap_id) {
+    return close_admission("the fleet was bootstrapped again without this folder");
   }
-  if (!founding_) {
-    founding_ = Founding{g.founding, {}};
-    record(founding_->record());
+  if (!bootstrap_) {
+    bootstrap_ = Bootstrap{g.bootstrap_id, {}};
+    append_record(bootstrap_->to_record());
   }
-  const bool news = leader_ != g.leader || leader_term_ != g.term;
-  if (news) word("policy_leader", "the voters' leader is " + g.leader);
+  const bool leader_changed = leader_ != g.leader || leader_term_ != g.leader_term;
+  if (leader_changed) log("policy_leader", "the voters' leader is " + g.leader);
   leader_ = g.leader;
-  leader_term_ = g.term;
-  leader_stamp_ = g.stamp;
-  heard_ = now;
-  newest_ = g.version;
-  if (!g.voters.empty() && g.voters != told_voters_) {
-    told_voters_ = g.voters;
-    record(json::array({"voters", told_voters_}));
+  leader_term_ = g.leader_term;
+  leader_timestamp_ = g.timestamp;
+  last_received_ = now;
+  newest_version_ = g.version;
+  if (!g.voters.empty() && g.voters != known_voters_) {
+    known_voters_ = g.voters;
+    append_record(json::array({"voters", known_voters_}));
   }
-  const bool was_off = rates_.off();
-  const bool steady = rates_.agree(asked, now, g.term, g.stamp);
-  if (!steady && !was_off) word("policy_clock", "this clock and the leader's differ by more than 1 in 500");
-  hear_outcomes(g);
-  consider(now, g);
-  // A voter's next echo confirms the leader; the others wait for that a little.
-  if (g.lease == 0) renew_at_ = std::min(renew_at_, news && raft_ ? now : now + settings_.period / 4);
-  if (!take_hold(now, g) || leaving_) return;
-  if (bound_) return shut("this folder said yes to " + answer_ + ", which this program cannot hold: " + no_);
-  if (!steady) return shut("its clock and the leader's differ by more than 1 in 500");
-  const Time until = asked + g.lease;
-  if (g.lease > 0 && !g.ride.empty() && settings_.rider != nullptr &&
-      settings_.rider->took(now, g.term, g.ride, until)) {
-    renew_at_ = std::min(renew_at_, now + settings_.period / 8);  // the leader hears that it is taken
+  const bool was_out_of_bounds = clock_rate_.out_of_bounds();
+  const bool clock_ok = clock_rate_.add_round_trip(sent_at, now, g.leader_term, g.timestamp);
+  if (!clock_ok && !was_out_of_bounds)
+    log("policy_clock", "this clock and the leader's differ by more than 1 in 500");
+  receive_outcomes(g);
+  answer_change(now, g);
+  // A grant without a lease: a voter answers a new leader at once, as its echo confirms that leader; other
+  // relays wait a little for that.
+  if (g.lease_duration == 0)
+    next_renewal_ =
+        std::min(next_renewal_, leader_changed && raft_ ? now : now + settings_.renewal_period / 4);
+  if (!apply_policy(now, g) || leaving_) return;
+  if (accepted_but_unsupported_)
+    return close_admission("this folder accepted " + answered_change_id_ +
+                           ", which this program does not support: " + rejection_reason_);
+  if (!clock_ok) return close_admission("its clock and the leader's differ by more than 1 in 500");
+  const Time until = sent_at + g.lease_duration;
+  if (g.lease_duration > 0 && !g.piggyback.empty() && settings_.piggyback != nullptr &&
+      settings_.piggyback->took(now, g.leader_term, g.piggyback, until)) {
+    // So that the leader soon learns that the piggybacked data arrived.
+    next_renewal_ = std::min(next_renewal_, now + settings_.renewal_period / 8);
   }
-  if (g.lease == 0 || until <= lease_until_ || until <= now) return;
-  if (lease_until_ == 0) {
-    word("policy_open", "takes messages on under version " + std::to_string(held_.version));
+  if (g.lease_duration == 0 || until <= lease_expires_at_ || until <= now) return;
+  if (lease_expires_at_ == 0) {
+    log("policy_open", "accepts messages under version " + std::to_string(policy_.version));
   }
-  closed_.clear();
-  lease_until_ = until;
-  out_.push_back(Door{until});
-  if (settings_.plant == Plant::kLeaseKept) record(json::array({"lease", static_cast<uint64_t>(until)}));
+  closed_reason_.clear();
+  lease_expires_at_ = until;
+  outputs_.push_back(Admission{until});
+  if (settings_.injected_fault == InjectedFault::kLeaseSurvivesRestart)
+    append_record(json::array({"lease", static_cast<uint64_t>(until)}));
 }
 
-// The version in force is held, or this relay stays out. Answers whether it is held.
-bool Agreement::take_hold(Time now, const Grant& g) {
+// Applies the version in force, or closes the admission. Returns whether that version applies here.
+bool Agreement::apply_policy(Time now, const LeaseGrant& g) {
   if (g.version == 0) return false;
-  if (g.version < held_.version) {
-    shut("the leader tells an older version than this folder holds");
+  if (g.version < policy_.version) {
+    close_admission("the leader has an older version than this folder");
     return false;
   }
-  const bool same = g.digest == digest_of(held_.text);
-  if (g.version == held_.version && same && cannot_.empty()) return true;
-  if (!same && !g.text) {  // asked for by telling what is held
-    if (held_.version == 0 || g.version > held_.version) renew_at_ = std::min(renew_at_, now);
+  const bool same = g.digest == digest_of(policy_.text);
+  if (g.version == policy_.version && same && unsupported_reason_.empty()) return true;
+  if (!same && !g.text) {  // the leader sends the text in answer to the version and digest of a renewal
+    if (policy_.version == 0 || g.version > policy_.version) next_renewal_ = std::min(next_renewal_, now);
     return false;
   }
-  const std::string text = same ? held_.text : *g.text;
-  cannot_ = clipped(settings_.check(text), kMostReason);
-  if (!cannot_.empty()) {
-    const std::string why = "version " + std::to_string(g.version) + " cannot be held here: " + cannot_;
-    if (closed_ != why) word("policy_cannot", "stays out: " + why);
-    shut(why);
+  const std::string text = same ? policy_.text : *g.text;
+  unsupported_reason_ = truncated(settings_.check_policy(text), kMaxReasonBytes);
+  if (!unsupported_reason_.empty()) {
+    const std::string why =
+        "version " + std::to_string(g.version) + " is not supported here: " + unsupported_reason_;
+    if (closed_reason_ != why) log("policy_cannot", "accepts no messages: " + why);
+    close_admission(why);
     return false;
   }
-  held_ = {g.version, g.id, text};
-  record({"policy", held_.version, held_.id, held_.text});
-  out_.push_back(Adopt{held_.version, held_.id, held_.text});
-  renew_at_ = std::min(renew_at_, now + settings_.period / 4);  // the leader hears that it is held
+  policy_ = {g.version, g.id, text};
+  append_record({"policy", policy_.version, policy_.id, policy_.text});
+  outputs_.push_back(ApplyPolicy{policy_.version, policy_.id, policy_.text});
+  // So that the leader soon learns that the version applies here.
+  next_renewal_ = std::min(next_renewal_, now + settings_.renewal_period / 4);
   return true;
 }
 
-// What this relay says of a change: written before it is said.
-void Agreement::consider(Time now, const Grant& g) {
-  waiting_ = g.waiting;
+// Accepts or rejects the change under way. An acceptance is recorded before it is sent.
+void Agreement::answer_change(Time now, const LeaseGrant& g) {
+  waiting_for_ = g.waiting_for;
   if (!g.change) {
     change_.reset();
-    answer_.clear();
-    no_.clear();
-    bound_ = false;
+    answered_change_id_.clear();
+    rejection_reason_.clear();
+    accepted_but_unsupported_ = false;
     return;
   }
   const Change& c = *g.change;
-  change_ = Change{c.id, c.by, c.base, "", c.wall_ms};
-  if (answer_ == c.id || !g.change_text) return;
-  answer_ = c.id;
-  no_ = clipped(settings_.check(c.text), kMostReason);
-  bound_ = !no_.empty() && yes_ == c.id;
-  if (no_.empty() && yes_ != c.id) {
-    yes_ = c.id;
-    if (settings_.plant != Plant::kYesNotWritten) record(json::array({"yes", yes_}));
+  change_ = Change{c.id, c.proposed_by, c.base_version, "", c.wall_ms};
+  if (answered_change_id_ == c.id || !g.has_change_text) return;
+  answered_change_id_ = c.id;
+  rejection_reason_ = truncated(settings_.check_policy(c.text), kMaxReasonBytes);
+  accepted_but_unsupported_ = !rejection_reason_.empty() && accepted_change_id_ == c.id;
+  if (rejection_reason_.empty() && accepted_change_id_ != c.id) {
+    accepted_change_id_ = c.id;
+    if (settings_.injected_fault != InjectedFault::kAcceptanceNotPersisted)
+      append_record(json::array({"yes", accepted_change_id_}));
   }
-  renew_at_ = now;
+  next_renewal_ = now;
 }
 
 }  // namespace umberhoist::fleet
--- a/fleet/agreement_settings.h
+++ b/fleet/agreement_settings.h
@@ -1,4 +1,4 @@
-// What an agreement is given, and the bounds that its parts share.
+// Settings of the policy agreement, and the bounds that its source files share.
 #pragma once
 
 #include <functional>
@@ -11,27 +11,28 @@
 
 namespace umberhoist::fleet {
 
-constexpr int64_t kDriftOne = 500;  // clocks' rates differ by at most 1 in this
-constexpr size_t kFileTexts = 20;
-constexpr size_t kFileRest = 100'000;
-constexpr size_t kMostMessage = kFileTexts * kMostPolicy + kFileRest;
+constexpr int64_t kInverseDriftBound = 500;  // the rates of two clocks differ by at most 1 in 500
+constexpr size_t kMaxFilePolicies = 20;      // policy texts in the file
+constexpr size_t kMaxFileOverheadBytes = 100'000;
+constexpr size_t kMaxAgreementMessageBytes = kMaxFilePolicies * kMaxPolicyBytes + kMaxFileOverheadBytes;
 
-// Faults planted for the model checker.
-enum class AgreementPlant { kNothing, kNoLeaseWait, kYesNotWritten, kLeaseKept };
+// Faults that the model checker injects, to show that it detects them.
+enum class AgreementInjectedFault { kNone, kSkipLeaseWait, kAcceptanceNotPersisted, kLeaseSurvivesRestart };
 
 struct AgreementSettings {
   std::string cluster;
-  std::string name;                 // one of `names`
-  std::vector<std::string> names;   // of all relays
-  std::vector<std::string> voters;  // at the founding; an odd number of them
-  Time period = 500 * kMs;
-  Time term = 3000 * kMs;
-  std::string own;      // the policy of this relay's own file: version 1 where it leads first
-  std::string program;  // its version, for people
-  // Why a policy cannot be held here; empty where it can. A function of its argument and of the program.
-  std::function<std::string(const std::string& text)> check;
-  Rider* rider = nullptr;  // what goes along with renewals and grants; outlives the agreement; null: nothing
-  AgreementPlant plant = AgreementPlant::kNothing;
+  std::string name;                 // of this relay; one of `relays`
+  std::vector<std::string> relays;  // the names of all relays
+  std::vector<std::string> voters;  // at the bootstrap; an odd number of them
+  Time renewal_period = 500 * kMs;
+  Time lease_duration = 3000 * kMs;
+  std::string local_policy;     // of this relay's configuration file: version 1 if it is the first leader
+  std::string program_version;  // for display only
+  // Returns why a policy is not supported here; empty if it is. Must depend on its argument and on the
+  // program only.
+  std::function<std::string(const std::string& text)> check_policy;
+  Rider* piggyback = nullptr;  // data carried with renewals and grants; outlives the agreement; null: none
+  AgreementInjectedFault injected_fault = AgreementInjectedFault::kNone;
 };
 
 }  // namespace umberhoist::fleet
--- a/fleet/consensus.cpp
+++ b/fleet/consensus.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "consensus_parts.h"
+#include "raft_conversion.h"
 
 namespace umberhoist::fleet {
 
@@ -14,48 +14,48 @@
 Consensus::~Consensus() {
   if (!started_) return;
   raft_close(&raft_, nullptr);
-  finish();
+  run_deferred();
 }
 
 void Consensus::start(Time now) {
   now_ = now;
   const auto ms = [](Time t) { return static_cast<unsigned>(std::max<Time>(1, t / kMs)); };
-  int bad = raft_init(&raft_, &io_, &fsm_, settings_.id, settings_.name.c_str());
-  if (bad == 0) {
+  int error = raft_init(&raft_, &io_, &fsm_, settings_.id, settings_.name.c_str());
+  if (error == 0) {
     started_ = true;
-    raft_set_election_timeout(&raft_, ms(settings_.election));
-    raft_set_heartbeat_timeout(&raft_, ms(settings_.heartbeat));
-    raft_set_install_snapshot_timeout(&raft_, ms(4 * settings_.election));
-    raft_set_snapshot_threshold(&raft_, settings_.snapshot_after);
-    raft_set_snapshot_trailing(&raft_, settings_.trailing);
-    raft_set_max_catch_up_round_duration(&raft_, ms(4 * settings_.election));
+    raft_set_election_timeout(&raft_, ms(settings_.election_timeout));
+    raft_set_heartbeat_timeout(&raft_, ms(settings_.heartbeat_interval));
+    raft_set_install_snapshot_timeout(&raft_, ms(4 * settings_.election_timeout));
+    raft_set_snapshot_threshold(&raft_, settings_.snapshot_threshold);
+    raft_set_snapshot_trailing(&raft_, settings_.snapshot_trailing);
+    raft_set_max_catch_up_round_duration(&raft_, ms(4 * settings_.election_timeout));
     raft_set_pre_vote(&raft_, true);
-    bad = raft_start(&raft_);
+    error = raft_start(&raft_);
   }
-  if (bad != 0) {
-    failed_ = raft_strerror(bad);
+  if (error != 0) {
+    failure_ = raft_strerror(error);
     return;
   }
-  next_ = now + settings_.heartbeat;
-  finish();
+  next_wakeup_ = now + settings_.heartbeat_interval;
+  run_deferred();
 }
 
-void Consensus::finish() {
-  while (!later_.empty()) {
-    for (const auto& call : std::exchange(later_, {})) call();
+void Consensus::run_deferred() {
+  while (!deferred_.empty()) {
+    for (const auto& call : std::exchange(deferred_, {})) call();
   }
-  if (started_ && failed_.empty() && raft_state(&raft_) == RAFT_UNAVAILABLE) failed_ = raft_errmsg(&raft_);
+  if (started_ && failure_.empty() && raft_state(&raft_) == RAFT_UNAVAILABLE) failure_ = raft_errmsg(&raft_);
 }
 
-void Consensus::woke(Time now) {
+void Consensus::on_timer(Time now) {
   now_ = std::max(now_, now);
-  if (now < next_ || !failed_.empty()) return;
-  next_ = now + settings_.heartbeat;
+  if (now < next_wakeup_ || !failure_.empty()) return;
+  next_wakeup_ = now + settings_.heartbeat_interval;
   tick_(&io_);
-  finish();
+  run_deferred();
 }
 
-bool Consensus::leads() const { return started_ && raft_.state == RAFT_LEADER; }
+bool Consensus::is_leader() const { return started_ && raft_.state == RAFT_LEADER; }
 
 std::string Consensus::leader() const {
   if (!started_) return "";
@@ -70,7 +70,7 @@
 uint64_t Consensus::fingerprint(Time now) const {
   uint64_t out = XXH64(&now_, 0, 5);
   const auto mix = [&](uint64_t value) { out = XXH64(&value, sizeof value, out); };
-  for (const json& record : stored_.records()) {
+  for (const json& record : persistent_state_.records()) {
     const std::string bytes = to_cbor(record);
     out = XXH64(bytes.data(), bytes.size(), out);
   }
@@ -78,7 +78,7 @@
   mix(raft_.commit_index);
   mix(raft_.last_applied);
   mix(static_cast<uint64_t>(now / kMs - static_cast<Time>(raft_.election_timer_start)));
-  mix(next_ == kNever ? 0 : static_cast<uint64_t>(next_ - now));
+  mix(next_wakeup_ == kNever ? 0 : static_cast<uint64_t>(next_wakeup_ - now));
   if (raft_.state == RAFT_FOLLOWER) {
     mix(raft_.follower_state.current_leader.id);
     mix(raft_.follower_state.randomized_election_timeout);
@@ -100,20 +100,20 @@
   return out;
 }
 
-void Consensus::received(Time now, const json& from) {
+void Consensus::on_message(Time now, const json& from) {
   now_ = std::max(now_, now);
-  if (!failed_.empty() || !started_) return;
-  if (number_of(at(from, 3)) != settings_.id) return;  // for the server that this name was before
+  if (!failure_.empty() || !started_) return;
+  if (number_of(at(from, 3)) != settings_.id) return;  // to an earlier server of this name
   std::string address;
-  raft_message m = message_of(from, address);
+  raft_message m = decode_message(from, address);
   recv_(&io_, &m);
-  finish();
+  run_deferred();
 }
 
-// ---- A leader's part ----
+// ---- Operations of a leader ----
 
 bool Consensus::propose(const std::string& command) {
-  if (!leads()) return false;
+  if (!is_leader()) return false;
   auto request = std::make_unique<struct raft_apply>();
   const raft_buffer bytes = buffer_of(command);
   if (raft_apply(&raft_, request.get(), &bytes, 1, [](struct raft_apply* r, int, void*) { delete r; }) != 0) {
@@ -121,47 +121,50 @@
     return false;
   }
   (void)request.release();
-  finish();
+  run_deferred();
   return true;
 }
 
-bool Consensus::change(const std::function<int(raft_change*)>& begin) {
-  if (!leads() || changing_) return false;
+bool Consensus::change_membership(const std::function<int(raft_change*)>& begin) {
+  if (!is_leader() || membership_change_pending_) return false;
   auto request = std::make_unique<raft_change>();
   request->data = this;
-  changing_ = true;
+  membership_change_pending_ = true;
   if (begin(request.get()) != 0) {
-    changing_ = false;
+    membership_change_pending_ = false;
     return false;
   }
   (void)request.release();
-  finish();
+  run_deferred();
   return true;
 }
 
-void Consensus::changed(raft_change* request, int) {
-  static_cast<Consensus*>(request->data)->changing_ = false;
+void Consensus::on_membership_changed(raft_change* request, int) {
+  static_cast<Consensus*>(request->data)->membership_change_pending_ = false;
   delete request;
 }
 
-bool Consensus::add(const Server& server) {
-  return change([&](raft_change* r) { return raft_add(&raft_, r, server.id, server.name.c_str(), changed); });
+bool Consensus::add_server(const Server& server) {
+  return change_membership([&](raft_change* r) {
+    return raft_add(&raft_, r, server.id, server.name.c_str(), on_membership_changed);
+  });
 }
 
-bool Consensus::promote(uint64_t id) {
-  return change([&](raft_change* r) { return raft_assign(&raft_, r, id, RAFT_VOTER, changed); });
+bool Consensus::promote_server(uint64_t id) {
+  return change_membership(
+      [&](raft_change* r) { return raft_assign(&raft_, r, id, RAFT_VOTER, on_membership_changed); });
 }
 
-bool Consensus::remove(uint64_t id) {
-  return change([&](raft_change* r) { return raft_remove(&raft_, r, id, changed); });
+bool Consensus::remove_server(uint64_t id) {
+  return change_membership([&](raft_change* r) { return raft_remove(&raft_, r, id, on_membership_changed); });
 }
 
-void Consensus::transfer() {
-  if (!leads()) return;
+void Consensus::transfer_leadership() {
+  if (!is_leader()) return;
   auto request = std::make_unique<struct raft_transfer>();
   if (raft_transfer(&raft_, request.get(), 0, [](struct raft_transfer* r) { delete r; }) != 0) return;
   (void)request.release();
-  finish();
+  run_deferred();
 }
 
 }  // namespace umberhoist::fleet
--- a/fleet/consensus.h
+++ b/fleet/consensus.h
@@ -1,15 +1,15 @@
-// A replicated log among a few servers: C-Raft's core (Ongaro, Ousterhout, 2014: "In Search of an
-// Understandable Consensus Algorithm", with its pre-vote) over a raft_io without disk, network, clock or
-// chance of its own.
+// A replicated log among a few servers: the core of C-Raft (Ongaro, Ousterhout, 2014: "In Search of an
+// Understandable Consensus Algorithm", with pre-vote) on a raft_io that itself has no disk, network, clock or
+// source of randomness.
 //
-// Contract: what is handed to the host goes out in the order in which it was handed; a record must be durable
-// before anything that follows it is said to another or acted upon. The host may crash between any two.
-// committed() is called in the log's order, once a life for each command; a host's state after a restart is
-// that of restore(), or empty, and the commands after it.
+// Contract: the host carries out its calls in order; a record must be durable before any later message is
+// sent and before any later command is acted upon. The host may crash between any two of them.
+// apply_command() is called in the log's order, once per incarnation for each command; after a restart the
+// host's state is that of restore(), or empty, followed by the later commands.
 //
-// Bounds: the log is replaced by a snapshot of the host's state after `snapshot_after` entries, of which
-// `trailing` are kept. Errors: a record that does not read throws Bad; C-Raft's own failures end this
-// server's part until it is made anew (failed() says why).
+// Bounds: after `snapshot_threshold` entries a snapshot of the host's state replaces the log, of which the
+// last `snapshot_trailing` entries are kept. Errors: a malformed record throws Bad; a failure of C-Raft stops
+// this server until the object is created anew (failure() says why).
 #pragma once
 
 extern "C" {
@@ -39,17 +39,17 @@
   struct Settings {
     uint64_t id = 0;
     std::string name;
-    Time election = 750 * kMs;   // a follower waits so long for its leader, up to twice as long by chance
-    Time heartbeat = 250 * kMs;  // of a leader
-    unsigned snapshot_after = 16;
-    unsigned trailing = 4;
+    Time election_timeout = 750 * kMs;  // the minimum; C-Raft draws a value of up to twice as much
+    Time heartbeat_interval = 250 * kMs;
+    unsigned snapshot_threshold = 16;  // entries
+    unsigned snapshot_trailing = 4;    // entries
   };
   class Host {
    public:
-    virtual void record(nlohmann::json record) = 0;  // one more
-    virtual void compacted() = 0;                    // records() replaces all of them
-    virtual void carry(const std::string& to, nlohmann::json message) = 0;
-    virtual void committed(std::string_view command) = 0;
+    virtual void append_record(nlohmann::json record) = 0;
+    virtual void rewrite_records() = 0;  // records() replaces all records written before
+    virtual void send_message(const std::string& to, nlohmann::json message) = 0;
+    virtual void apply_command(std::string_view command) = 0;
     virtual std::string state() const = 0;
     virtual void restore(std::string_view state) = 0;
 
@@ -57,8 +57,8 @@
     ~Host() = default;
   };
 
-  // What stands on disk.
-  struct Stored {
+  // Raft's state on disk.
+  struct PersistentState {
     struct Entry {
       uint64_t term = 0;
       unsigned type = RAFT_COMMAND;
@@ -67,70 +67,70 @@
     struct Snapshot {
       uint64_t index = 0;
       uint64_t term = 0;
-      uint64_t servers_index = 0;
+      uint64_t configuration_index = 0;
       std::vector<Server> servers;
       std::string bytes;
     };
     uint64_t term = 0;
     uint64_t vote = 0;
     std::optional<Snapshot> snapshot;
-    uint64_t first = 1;  // index of the first entry
+    uint64_t first_index = 1;  // of the first entry
     std::deque<Entry> entries;
 
-    // The beginning of a log, the same at each of these servers.
-    static Stored founded(const std::vector<Server>& servers);
-    // Answers whether the record is one of the log's.
-    bool take(const nlohmann::json& record);
+    // The initial state, the same at each of these servers.
+    static PersistentState bootstrap(const std::vector<Server>& servers);
+    // Returns false if the record is not one of Raft's.
+    bool apply_record(const nlohmann::json& record);
     std::vector<nlohmann::json> records() const;
   };
 
-  Consensus(Settings settings, Host& host, Stored stored, uint64_t seed);
+  Consensus(Settings settings, Host& host, PersistentState state, uint64_t seed);
   ~Consensus();
   Consensus(const Consensus&) = delete;
 
   void start(Time now);
-  void received(Time now, const nlohmann::json& message);
-  void woke(Time now);
-  Time next() const { return next_; }
+  void on_message(Time now, const nlohmann::json& message);
+  void on_timer(Time now);
+  Time next_wakeup() const { return next_wakeup_; }
 
   uint64_t id() const { return settings_.id; }
-  bool leads() const;
+  bool is_leader() const;
   uint64_t term() const { return raft_.current_term; }
-  std::string leader() const;  // as far as it is known
+  std::string leader() const;  // empty: not known
   std::vector<Server> servers() const;
-  const std::string& failed() const { return failed_; }
-  std::vector<nlohmann::json> records() const { return stored_.records(); }
-  // All that decides what it does next, times counted from now.
+  const std::string& failure() const { return failure_; }  // empty: none
+  std::vector<nlohmann::json> records() const { return persistent_state_.records(); }
+  // Hash of the state that determines its behaviour, with times relative to now.
   uint64_t fingerprint(Time now) const;
 
-  // Of a leader only; false where it is none, or another change of the servers is under way.
+  // For a leader only; false if it does not lead, or if another membership change is under way.
   bool propose(const std::string& command);
-  bool add(const Server& server);  // hears of the log's beginning first, and votes after promote()
-  bool promote(uint64_t id);
-  bool remove(uint64_t id);
-  void transfer();  // to another voter
+  bool add_server(const Server& server);  // receives the log, and votes only after promote_server()
+  bool promote_server(uint64_t id);
+  bool remove_server(uint64_t id);
+  void transfer_leadership();  // to another voter
 
  private:
-  struct Glue;  // raft_io's and raft_fsm's functions
-  friend struct Glue;
+  struct RaftAdapter;  // the functions of raft_io and raft_fsm
+  friend struct RaftAdapter;
 
-  void finish();  // what was asked of the host is done by now: C-Raft hears so
-  void later(std::function<void()> call) { later_.push_back(std::move(call)); }
-  raft_message message_of(const nlohmann::json& from, std::string& address) const;
-  nlohmann::json json_of(const raft_message& message) const;
-  bool change(const std::function<int(raft_change*)>& begin);
-  static void changed(raft_change* request, int status);
+  void run_deferred();  // the host has carried out its calls: completes C-Raft's requests
+  void defer(std::function<void()> call) { deferred_.push_back(std::move(call)); }
+  raft_message decode_message(const nlohmann::json& from, std::string& address) const;
+  nlohmann::json encode_message(const raft_message& message) const;
+  bool change_membership(const std::function<int(raft_change*)>& begin);
+  static void on_membership_changed(raft_change* request, int status);
 
   Settings settings_;
   Host& host_;
-  Stored stored_;
-  mutable pcg32 chance_;
+  PersistentState persistent_state_;
+  mutable pcg32 rng_;
   Time now_ = 0;
-  Time next_ = kNever;
-  std::vector<std::function<void()>> later_;
-  std::string failed_;
+  Time next_wakeup_ = kNever;
+  std::vector<std::function<void()>> deferred_;
+  std::string failure_;
   bool started_ = false;
-  bool changing_ = false;
+  bool membership_change_pending_ = false;
   raft_io io_ = {};
   raft_fsm fsm_ = {};
   raft raft_ = {};
--- a/fleet/consensus_messages.cpp
+++ b/fleet/consensus_messages.cpp
@@ -1,11 +1,11 @@
-// Between servers: C-Raft's messages as CBOR, the receiver's id in each.
-#include "consensus_parts.h"
+// Messages between servers: C-Raft's messages encoded as CBOR, each with the receiver's server id.
+#include "raft_conversion.h"
 
 namespace umberhoist::fleet {
 
 using nlohmann::json;
 
-json Consensus::json_of(const raft_message& m) const {
+json Consensus::encode_message(const raft_message& m) const {
   json out = {settings_.id, settings_.name, m.type, m.server_id};
   switch (m.type) {
     case RAFT_IO_REQUEST_VOTE: {
@@ -24,7 +24,7 @@
       json entries = json::array();
       for (unsigned i = 0; i < v.n_entries; ++i) {
         const raft_entry& e = v.entries[i];
-        entries.push_back(fleet::packed(Stored::Entry{e.term, e.type, std::string(view_of(e.buf))}));
+        entries.push_back(fleet::encode(PersistentState::Entry{e.term, e.type, std::string(view_of(e.buf))}));
       }
       out.insert(out.end(), {json(v.term), json(v.prev_log_index), json(v.prev_log_term),
                              json(v.leader_commit), entries});
@@ -38,7 +38,7 @@
     case RAFT_IO_INSTALL_SNAPSHOT: {
       const auto& v = m.install_snapshot;
       out.insert(out.end(),
-                 {json(v.term), json(v.last_index), json(v.last_term), fleet::packed(servers_of(v.conf)),
+                 {json(v.term), json(v.last_index), json(v.last_term), fleet::encode(servers_of(v.conf)),
                   json(v.conf_index), bytes_of(view_of(v.data))});
       break;
     }
@@ -50,7 +50,7 @@
   return out;
 }
 
-raft_message Consensus::message_of(const json& from, std::string& address) const {
+raft_message Consensus::decode_message(const json& from, std::string& address) const {
   raft_message m{};
   m.server_id = number_of(at(from, 0));
   address = text_of(at(from, 1), kMostName);
@@ -61,7 +61,7 @@
     want(at(from, 3 + i).is_boolean());
     return at(from, 3 + i).get<bool>();
   };
-  // All that can be wrong is read before anything is handed over.
+  // Everything that may throw is decoded before memory is allocated for C-Raft.
   switch (m.type) {
     case RAFT_IO_REQUEST_VOTE:
       m.request_vote = {number(1), number(2), number(3), number(4), flag(5), flag(6)};
@@ -72,9 +72,9 @@
       break;
     case RAFT_IO_APPEND_ENTRIES: {
       m.append_entries = {number(1), number(2), number(3), number(4), nullptr, 0};
-      std::vector<Stored::Entry> entries;
+      std::vector<PersistentState::Entry> entries;
       want(at(from, 8).is_array());
-      for (const json& e : at(from, 8)) entries.push_back(entry_of(e));
+      for (const json& e : at(from, 8)) entries.push_back(decode_entry(e));
       m.append_entries.n_entries = static_cast<unsigned>(entries.size());
       m.append_entries.entries = entries_of(entries);
       break;
@@ -83,7 +83,7 @@
       m.append_entries_result = {number(1), number(2), number(3)};
       break;
     case RAFT_IO_INSTALL_SNAPSHOT: {
-      const auto servers = unpacked(at(from, 7));
+      const auto servers = decode_servers(at(from, 7));
       const std::string bytes = bytes_in(at(from, 9));
       m.install_snapshot = {number(1), number(2), number(3), {}, number(5), {}};
       m.install_snapshot.conf = configuration_of(servers);
--- a/fleet/consensus_records.cpp
+++ b/fleet/consensus_records.cpp
@@ -1,24 +1,25 @@
-// What stands on disk: each change of it is one record, and records() are all that give the same again.
-#include "consensus_parts.h"
+// Raft's persistent state: apply_record() applies one record of a change to it, and records() returns the
+// records from which the same state can be read again.
+#include "raft_conversion.h"
 
 namespace umberhoist::fleet {
 namespace {
 
-constexpr size_t kMostServers = 64;
-constexpr size_t kMostBytes = 2'000'000;  // of an entry or a snapshot
+constexpr size_t kMaxServers = 64;
+constexpr size_t kMaxPayloadBytes = 2'000'000;  // of an entry or a snapshot
 
 }  // namespace
 
 using nlohmann::json;
 
-json packed(const std::vector<Consensus::Server>& servers) {
+json encode(const std::vector<Consensus::Server>& servers) {
   json out = json::array();
   for (const auto& s : servers) out.push_back({s.id, s.name, static_cast<unsigned>(s.role)});
   return out;
 }
 
-std::vector<Consensus::Server> unpacked(const json& from) {
-  want(from.is_array() && from.size() <= kMostServers);
+std::vector<Consensus::Server> decode_servers(const json& from) {
+  want(from.is_array() && from.size() <= kMaxServers);
   std::vector<Consensus::Server> out;
   for (const json& s : from) {
     const uint64_t role = number_of(at(s, 2));
@@ -28,21 +29,21 @@
   return out;
 }
 
-json packed(const Consensus::Stored::Entry& e) { return {e.term, e.type, bytes_of(e.bytes)}; }
+json encode(const Consensus::PersistentState::Entry& e) { return {e.term, e.type, bytes_of(e.bytes)}; }
 
-Consensus::Stored::Entry entry_of(const json& from) {
-  Consensus::Stored::Entry out;
+Consensus::PersistentState::Entry decode_entry(const json& from) {
+  Consensus::PersistentState::Entry out;
   out.term = number_of(at(from, 0));
   const uint64_t type = number_of(at(from, 1));
   want(type >= RAFT_COMMAND && type <= RAFT_CHANGE);
   out.type = static_cast<unsigned>(type);
   out.bytes = bytes_in(at(from, 2));
-  want(out.bytes.size() <= kMostBytes);
+  want(out.bytes.size() <= kMaxPayloadBytes);
   return out;
 }
 
-Consensus::Stored Consensus::Stored::founded(const std::vector<Server>& servers) {
-  Stored out;
+Consensus::PersistentState Consensus::PersistentState::bootstrap(const std::vector<Server>& servers) {
+  PersistentState out;
   out.term = 1;
   raft_configuration conf = configuration_of(servers);
   raft_buffer bytes;
@@ -53,7 +54,7 @@
   return out;
 }
 
-bool Consensus::Stored::take(const json& record) {
+bool Consensus::PersistentState::apply_record(const json& record) {
   const std::string tag = text_of(at(record, 0), kMostName);
   if (tag == "term") {
     term = number_of(at(record, 1));
@@ -62,22 +63,22 @@
     vote = number_of(at(record, 1));
   } else if (tag == "entry") {
     const uint64_t index = number_of(at(record, 1));
-    if (entries.empty() && !snapshot) first = index;
-    want(index == first + entries.size());
-    entries.push_back(entry_of(at(record, 2)));
+    if (entries.empty() && !snapshot) first_index = index;
+    want(index == first_index + entries.size());
+    entries.push_back(decode_entry(at(record, 2)));
   } else if (tag == "cut") {
     const uint64_t index = number_of(at(record, 1));
-    want(index >= first && index <= first + entries.size());
-    entries.resize(index - first);
+    want(index >= first_index && index <= first_index + entries.size());
+    entries.resize(index - first_index);
   } else if (tag == "snapshot") {
     Snapshot s;
     s.index = number_of(at(record, 1));
     s.term = number_of(at(record, 2));
-    s.servers_index = number_of(at(record, 3));
-    s.servers = unpacked(at(record, 4));
+    s.configuration_index = number_of(at(record, 3));
+    s.servers = decode_servers(at(record, 4));
     s.bytes = bytes_in(at(record, 5));
-    first = number_of(at(record, 6));
-    want(entries.empty() && first <= s.index + 1);
+    first_index = number_of(at(record, 6));
+    want(entries.empty() && first_index <= s.index + 1);
     snapshot = std::move(s);
   } else {
     return false;
@@ -85,15 +86,15 @@
   return true;
 }
 
-std::vector<json> Consensus::Stored::records() const {
+std::vector<json> Consensus::PersistentState::records() const {
   std::vector<json> out;
   if (term > 0) out.push_back({"term", term});
   if (vote > 0) out.push_back({"vote", vote});
   if (snapshot) {
-    out.push_back({"snapshot", snapshot->index, snapshot->term, snapshot->servers_index,
-                   packed(snapshot->servers), bytes_of(snapshot->bytes), first});
+    out.push_back({"snapshot", snapshot->index, snapshot->term, snapshot->configuration_index,
+                   encode(snapshot->servers), bytes_of(snapshot->bytes), first_index});
   }
-  for (size_t i = 0; i < entries.size(); ++i) out.push_back({"entry", first + i, packed(entries[i])});
+  for (size_t i = 0; i < entries.size(); ++i) out.push_back({"entry", first_index + i, encode(entries[i])});
   return out;
 }
 
--- a/fleet/leadership.cpp
+++ b/fleet/leadership.cpp
@@ -1,145 +1,156 @@
-// A leader's reign and the leases that it grants.
+// The start of a leader term, and the leases that the leader grants.
 #include "leadership.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-#include "agreement_parts.h"
+#include "agreement_internal.h"
 
 namespace umberhoist::fleet {
 
-bool Leadership::active() const {
-  return raft_.leads() && reign_ == raft_.term() && log_.reign_term() == reign_;
+bool Leadership::is_active() const {
+  return raft_.is_leader() && leader_term_ == raft_.term() && policy_log_.leader_term() == leader_term_;
 }
 
-void Leadership::lead(Time now) {
-  if (!raft_.leads()) {
-    reign_ = 0;
+void Leadership::advance(Time now) {
+  if (!raft_.is_leader()) {
+    leader_term_ = 0;
     return;
   }
-  if (reign_ != raft_.term()) {
-    // Whatever leaders before have granted is over a term after this, as they were confirmed before it.
-    reign_ = raft_.term();
-    lessees_.clear();
-    clear_ = now + surely_over(settings_.term);
-    for (const std::string& name : settings_.names) lessees_[name].lease_until = clear_;
-    busy_.clear();
-    deciding_.clear();
-    first_proposed_ = false;
-    raft_.propose(PolicyLog::reign(reign_, settings_.name));
+  if (leader_term_ != raft_.term()) {
+    // Earlier leaders were last confirmed by a majority before this election, so their leases expire at most
+    // one lease duration after it.
+    leader_term_ = raft_.term();
+    lease_holders_.clear();
+    prior_leases_end_ = now + with_drift_margin(settings_.lease_duration);
+    for (const std::string& name : settings_.relays)
+      lease_holders_[name].lease_expires_at = prior_leases_end_;
+    pending_change_id_.clear();
+    deciding_change_id_.clear();
+    initial_policy_proposed_ = false;
+    raft_.propose(PolicyLog::start_leader_term(leader_term_, settings_.name));
   }
-  if (!active()) return;
-  if (log_.version() == 0 && !first_proposed_) {
-    first_proposed_ = true;
+  if (!is_active()) return;
+  if (policy_log_.version() == 0 && !initial_policy_proposed_) {
+    initial_policy_proposed_ = true;
     std::vector<std::string> voters;
     for (const auto& server : raft_.servers()) voters.push_back(server.name);
-    raft_.propose(PolicyLog::first(settings_.own, voters));
+    raft_.propose(PolicyLog::initial_policy(settings_.local_policy, voters));
   }
-  if (!busy_.empty() && log_.knows(busy_)) busy_.clear();
-  judge(now);
-  arrange_voters(now);
+  if (!pending_change_id_.empty() && policy_log_.knows(pending_change_id_)) pending_change_id_.clear();
+  evaluate_change(now);
+  reconcile_voters(now);
 }
 
-void Leadership::configure(Time now, const std::vector<std::string>& names) {
-  if (reign_ == 0) return;
-  for (const std::string& name : names) {
-    // One that was not known here may have a lease of a leader that knew it.
-    if (!lessees_.contains(name)) lessees_[name].lease_until = now + surely_over(settings_.term);
+void Leadership::configure(Time now, const std::vector<std::string>& relays) {
+  if (leader_term_ == 0) return;
+  for (const std::string& name : relays) {
+    // A relay that is new here may hold a lease of an earlier leader that was configured with it.
+    if (!lease_holders_.contains(name))
+      lease_holders_[name].lease_expires_at = now + with_drift_margin(settings_.lease_duration);
   }
 }
 
-// The latest moment by which a majority of voters still knew this reign, as they say.
-std::optional<Time> Leadership::confirmed(Time now) const {
-  std::vector<Time> known;
+// The latest time at which a majority of the voters still followed this leader, by their echoed timestamps.
+std::optional<Time> Leadership::majority_confirmed_at(Time now) const {
+  std::vector<Time> confirmed;
   size_t voters = 0;
   for (const auto& server : raft_.servers()) {
     if (server.role != RAFT_VOTER) continue;
     ++voters;
     if (server.id == raft_.id()) {
-      known.push_back(now);
-    } else if (const auto p = lessees_.find(server.name);
-               p != lessees_.end() && p->second.echo > 0 &&
-               server.id == server_id(server.name, p->second.nonce)) {
-      known.push_back(static_cast<Time>(p->second.echo));
+      confirmed.push_back(now);
+    } else if (const auto p = lease_holders_.find(server.name);
+               p != lease_holders_.end() && p->second.voter_confirmed_at > 0 &&
+               server.id == server_id(server.name, p->second.folder_id)) {
+      confirmed.push_back(static_cast<Time>(p->second.voter_confirmed_at));
     }
   }
-  std::ranges::sort(known, std::greater<>());
-  if (known.size() < voters / 2 + 1) return {};
-  return known[voters / 2];
+  std::ranges::sort(confirmed, std::greater<>());
+  if (confirmed.size() < voters / 2 + 1) return {};
+  return confirmed[voters / 2];
 }
 
-Leadership::Lessee& Leadership::hear(Time now, const Renew& r) {
-  Lessee& p = lessees_[r.origin];
-  if (p.nonce != r.nonce) p.yes.clear();  // another folder: what the one before said is gone with it
-  p.nonce = r.nonce;
-  p.heard = now;
+Leadership::LeaseHolder& Leadership::record_renewal(Time now, const LeaseRenewal& r) {
+  LeaseHolder& p = lease_holders_[r.origin];
+  if (p.folder_id != r.folder_id)
+    p.accepted_change_id.clear();  // an acceptance is valid only for the folder that recorded it
+  p.folder_id = r.folder_id;
+  p.last_received = now;
   p.version = r.version;
-  p.cannot = r.cannot;
-  if (r.raft_term == reign_ && r.echo_term == reign_) p.echo = std::max(p.echo, r.echo_stamp);
-  if (r.echo_term == reign_) p.reached = std::max(p.reached, r.echo_stamp);
-  if (r.leaving) p.lease_until = std::min(p.lease_until, now);
-  const auto& change = log_.change();
-  if (change && r.answer == change->id) {
-    if (r.no.empty()) {
-      p.yes = r.answer;
+  p.unsupported_reason = r.unsupported_reason;
+  if (r.raft_term == leader_term_ && r.echo_term == leader_term_)
+    p.voter_confirmed_at = std::max(p.voter_confirmed_at, r.echo_timestamp);
+  if (r.echo_term == leader_term_) p.last_acknowledged = std::max(p.last_acknowledged, r.echo_timestamp);
+  if (r.leaving) p.lease_expires_at = std::min(p.lease_expires_at, now);
+  const auto& change = policy_log_.change();
+  if (change && r.answered_change_id == change->id) {
+    if (r.rejection_reason.empty()) {
+      p.accepted_change_id = r.answered_change_id;
     } else {
-      p.no = r.answer;
-      p.why = r.no;
+      p.rejected_change_id = r.answered_change_id;
+      p.rejection_reason = r.rejection_reason;
     }
   }
   return p;
 }
 
-Time Leadership::lease_for(Time now, const Lessee& p, const Renew& r) const {
-  const auto since = confirmed(now);
-  const Time lease = since ? settings_.term - (now - *since) : 0;
-  const bool silent = log_.change() && p.yes != p.told && p.no != p.told && now - p.told_at > settings_.term;
-  const bool shut_out = !deciding_.empty() && p.yes != deciding_;
-  const bool may = log_.version() > 0 && !r.leaving && r.cannot.empty() && !silent && !shut_out;
-  return may ? std::max<Time>(0, lease) : 0;
+Time Leadership::lease_duration_for(Time now, const LeaseHolder& p, const LeaseRenewal& r) const {
+  const auto since = majority_confirmed_at(now);
+  const Time lease = since ? settings_.lease_duration - (now - *since) : 0;
+  // A relay that does not answer a change gets no further lease, so that it cannot delay the change for long.
+  const bool unanswered = policy_log_.change() && p.accepted_change_id != p.sent_change_id &&
+                          p.rejected_change_id != p.sent_change_id &&
+                          now - p.change_sent_at > settings_.lease_duration;
+  const bool excluded = !deciding_change_id_.empty() && p.accepted_change_id != deciding_change_id_;
+  const bool eligible =
+      policy_log_.version() > 0 && !r.leaving && r.unsupported_reason.empty() && !unanswered && !excluded;
+  return eligible ? std::max<Time>(0, lease) : 0;
 }
 
-Grant Leadership::answer(Time now, const Renew& r) {
-  Lessee& p = hear(now, r);
-  take_ask(now, r);
-  judge(now);
+LeaseGrant Leadership::handle_renewal(Time now, const LeaseRenewal& r) {
+  LeaseHolder& p = record_renewal(now, r);
+  handle_request(now, r);
+  evaluate_change(now);
 
-  Grant g;
+  LeaseGrant g;
   g.leader = settings_.name;
   g.via = r.via;
   g.to = r.origin;
-  g.life = r.life;
+  g.incarnation = r.incarnation;
   g.number = r.number;
-  g.term = reign_;
-  g.stamp = static_cast<uint64_t>(now);
-  g.version = log_.version();
-  g.id = log_.id();
-  g.digest = digest_of(log_.text());
-  if (g.version > 0 && g.digest != r.digest) g.text = log_.text();
-  g.busy = busy_;
-  g.voters = log_.voters();
-  g.ended = log_.ended();
-  const size_t missed = g.ended > r.ended ? static_cast<size_t>(g.ended - r.ended) : 0;
-  const auto& ends = log_.outcomes();
+  g.leader_term = leader_term_;
+  g.timestamp = static_cast<uint64_t>(now);
+  g.version = policy_log_.version();
+  g.id = policy_log_.id();
+  g.digest = digest_of(policy_log_.text());
+  if (g.version > 0 && g.digest != r.digest) g.text = policy_log_.text();
+  g.pending_change_id = pending_change_id_;
+  g.voters = policy_log_.voters();
+  g.ended_count = policy_log_.ended_count();
+  const size_t missed =
+      g.ended_count > r.ended_count ? static_cast<size_t>(g.ended_count - r.ended_count) : 0;
+  const auto& ends = policy_log_.outcomes();
   g.outcomes.assign(ends.end() - static_cast<std::ptrdiff_t>(std::min(missed, ends.size())), ends.end());
-  if (log_.change()) {
-    g.change = *log_.change();
-    g.change_text = r.answer != g.change->id;
-    if (!g.change_text) g.change->text.clear();
-    if (p.told != g.change->id) {
-      p.told = g.change->id;
-      p.told_at = now;
+  if (policy_log_.change()) {
+    g.change = *policy_log_.change();
+    g.has_change_text = r.answered_change_id != g.change->id;
+    if (!g.has_change_text) g.change->text.clear();
+    if (p.sent_change_id != g.change->id) {
+      p.sent_change_id = g.change->id;
+      p.change_sent_at = now;
     }
   }
-  g.waiting = waiting(now);
-  g.lease = lease_for(now, p, r);
-  if (g.lease <= 0) return g;
-  const Time over = now + surely_over(g.lease);
-  p.lease_until = std::max(p.lease_until, over);
-  if (settings_.rider != nullptr && !r.ride.empty()) {
-    g.ride =
-        settings_.rider->answer(now, {r.origin, reign_, clear_, over, static_cast<Time>(p.reached)}, r.ride);
+  g.waiting_for = waiting_for(now);
+  g.lease_duration = lease_duration_for(now, p, r);
+  if (g.lease_duration <= 0) return g;
+  const Time expires_at = now + with_drift_margin(g.lease_duration);
+  p.lease_expires_at = std::max(p.lease_expires_at, expires_at);
+  if (settings_.piggyback != nullptr && !r.piggyback.empty()) {
+    g.piggyback = settings_.piggyback->answer(
+        now, {r.origin, leader_term_, prior_leases_end_, expires_at, static_cast<Time>(p.last_acknowledged)},
+        r.piggyback);
   }
   return g;
 }
@@ -148,16 +159,18 @@
   uint64_t out = 7;
   const auto text = [&](const std::string& t) { out = XXH64(t.data(), t.size(), out + t.size()); };
   const auto mix = [&](uint64_t v) { out = XXH64(&v, sizeof v, out); };
-  text(deciding_);
-  text(busy_);
-  mix(reign_);
-  for (const auto& [name, p] : lessees_) {
+  text(deciding_change_id_);
+  text(pending_change_id_);
+  mix(leader_term_);
+  for (const auto& [name, p] : lease_holders_) {
     text(name);
-    text(p.yes);
-    text(p.no);
-    mix(p.lease_until <= now ? 0 : static_cast<uint64_t>((p.lease_until - now) / kMs));
-    mix(p.echo == 0 ? 0 : static_cast<uint64_t>((now - static_cast<Time>(p.echo)) / kMs));
-    mix(p.heard < 0 ? 1 : static_cast<uint64_t>((now - p.heard) / kMs) + 2);
+    text(p.accepted_change_id);
+    text(p.rejected_change_id);
+    mix(p.lease_expires_at <= now ? 0 : static_cast<uint64_t>((p.lease_expires_at - now) / kMs));
+    mix(p.voter_confirmed_at == 0
+            ? 0
+            : static_cast<uint64_t>((now - static_cast<Time>(p.voter_confirmed_at)) / kMs));
+    mix(p.last_received < 0 ? 1 : static_cast<uint64_t>((now - p.last_received) / kMs) + 2);
   }
   return out;
 }
--- a/fleet/leadership.h
+++ b/fleet/leadership.h
@@ -1,9 +1,10 @@
-// The part of the voters' leader in the agreement on the fleet's policy (agreement.h): it knows what each
-// relay said in this reign, grants leases, hands what staff asks to the log, decides or aborts a change, and
-// brings the log's servers to the voters that the log names.
+// The leader's side of the policy agreement (agreement.h): tracks what each relay answered in this leader
+// term, grants leases, proposes the operators' requests to the log, decides or aborts a change, and brings
+// the servers of the log in line with the voters that the log names.
 //
-// Promised: no lease from the moment at which a decision is handed to the log to one that has not said yes;
-// none without a majority of voters that still knew this reign. What it knows is of one reign only.
+// Guarantees: from the moment at which a decision is proposed to the log, no lease goes to a relay that has
+// not accepted the change; none is granted without a majority of voters that recently confirmed this leader.
+// What a leader knows of the relays is lost with its leader term.
 #pragma once
 
 #include <map>
@@ -16,55 +17,57 @@
 
 class Leadership {
  public:
-  // All of them outlive this.
+  // The arguments must outlive this object.
   Leadership(const AgreementSettings& settings, Consensus& raft, const PolicyLog& log)
-      : settings_(settings), raft_(raft), log_(log) {}
+      : settings_(settings), raft_(raft), policy_log_(log) {}
 
-  bool active() const;  // it leads, and its own reign is in the log that it has applied
-  // Whatever the time and the log ask for; after each event.
-  void lead(Time now);
-  // While it is active; the grant's founding is the caller's to set. Throws Bad: staff's words do not read.
-  Grant answer(Time now, const Renew& renew);
-  // Before the settings have them.
-  void configure(Time now, const std::vector<std::string>& names);
-  // All that decides what it does next, times counted from now.
+  // Whether it leads, and has applied the log up to the start of its own leader term.
+  bool is_active() const;
+  // Does whatever is due at this time and state of the log; called after each event.
+  void advance(Time now);
+  // Only while it is active. The caller sets the grant's bootstrap_id. Throws Bad on a malformed request.
+  LeaseGrant handle_renewal(Time now, const LeaseRenewal& renewal);
+  // Called before the settings change.
+  void configure(Time now, const std::vector<std::string>& relays);
+  // Hash of the state that determines its behaviour, with times relative to now.
   uint64_t fingerprint(Time now) const;
 
  private:
-  struct Lessee {  // a relay, in this reign
-    Time heard = -1;
-    Time lease_until = 0;  // surely over after
-    uint64_t nonce = 0;
-    uint64_t echo = 0;     // it knew this reign after, as a voter
-    uint64_t reached = 0;  // what was said then, in this reign, has reached it
+  struct LeaseHolder {  // a relay, as known in this leader term
+    Time last_received = -1;
+    Time lease_expires_at = 0;  // certainly expired afterwards
+    uint64_t folder_id = 0;
+    uint64_t voter_confirmed_at = 0;  // as a voter it still followed this leader then
+    uint64_t last_acknowledged = 0;   // timestamp of the last grant that it has received
     uint64_t version = 0;
-    std::string cannot;
-    std::string yes;  // to which change
-    std::string no;
-    std::string why;
-    std::string told;  // of which change
-    Time told_at = 0;
+    std::string unsupported_reason;
+    std::string accepted_change_id;
+    std::string rejected_change_id;
+    std::string rejection_reason;
+    std::string sent_change_id;
+    Time change_sent_at = 0;
   };
 
-  Lessee& hear(Time now, const Renew& renew);
-  // From when it asked; 0: none.
-  Time lease_for(Time now, const Lessee& relay, const Renew& renew) const;
-  std::optional<Time> confirmed(Time now) const;
-  void take_ask(Time now, const Renew& renew);
-  void judge(Time now);
-  void arrange_voters(Time now);
-  std::vector<std::pair<std::string, std::string>> waiting(Time now) const;
-  Time surely_over(Time lease) const { return lease + 2 * lease / kDriftOne; }
+  LeaseHolder& record_renewal(Time now, const LeaseRenewal& renewal);
+  // Counted from when the relay sent the renewal; 0: no lease.
+  Time lease_duration_for(Time now, const LeaseHolder& relay, const LeaseRenewal& renewal) const;
+  std::optional<Time> majority_confirmed_at(Time now) const;
+  void handle_request(Time now, const LeaseRenewal& renewal);
+  void evaluate_change(Time now);
+  void reconcile_voters(Time now);
+  std::vector<std::pair<std::string, std::string>> waiting_for(Time now) const;
+  // How long the leader has to wait until a lease has certainly expired, whichever clock is slow.
+  Time with_drift_margin(Time lease) const { return lease + 2 * lease / kInverseDriftBound; }
 
   const AgreementSettings& settings_;
   Consensus& raft_;
-  const PolicyLog& log_;
-  uint64_t reign_ = 0;  // the term in which it leads; 0: it does not
-  Time clear_ = 0;      // what was granted before it is surely over after
-  std::map<std::string, Lessee> lessees_;
-  std::string busy_;      // proposed in this reign, not committed yet
-  std::string deciding_;  // its decision or abort is
-  bool first_proposed_ = false;
+  const PolicyLog& policy_log_;
+  uint64_t leader_term_ = 0;   // the Raft term in which it leads; 0: it does not lead
+  Time prior_leases_end_ = 0;  // leases granted by earlier leaders have certainly expired afterwards
+  std::map<std::string, LeaseHolder> lease_holders_;
+  std::string pending_change_id_;   // proposed in this leader term and not committed yet
+  std::string deciding_change_id_;  // whose decision or abort was proposed
+  bool initial_policy_proposed_ = false;
 };
 
 }  // namespace umberhoist::fleet
--- a/fleet/leadership_change.cpp
+++ b/fleet/leadership_change.cpp
@@ -1,54 +1,61 @@
-// A leader's part in a change, and in a change of the voters: what staff asks, whom a change waits for, when
-// it is decided, which step the log's servers take next.
+// How the leader handles a policy change and a change of the voters: operators' requests, the relays that a
+// change waits for, the decision, and the next membership change of the log.
 #include <algorithm>
 
-#include "agreement_parts.h"
+#include "agreement_internal.h"
 #include "leadership.h"
 
 namespace umberhoist::fleet {
 
-void Leadership::take_ask(Time now, const Renew& r) {
-  // One that is older than its relay waits for it has been given up there.
-  if (!r.ask.is_array() || r.echo_term != reign_ || !busy_.empty()) return;
-  if (now - static_cast<Time>(r.echo_stamp) > 2 * settings_.term) return;
-  const std::string kind = text_of(at(r.ask, 0), kMostName);
+void Leadership::handle_request(Time now, const LeaseRenewal& r) {
+  // A request of an earlier leader term, or one that was sent too long ago, may be reported as refused by its
+  // relay already (resolve_request).
+  if (!r.request.is_array() || r.echo_term != leader_term_ || !pending_change_id_.empty()) return;
+  if (now - static_cast<Time>(r.echo_timestamp) > 2 * settings_.lease_duration) return;
+  const std::string kind = text_of(at(r.request, 0), kMostName);
   if (kind == "propose") {
-    const Change c{text_of(at(r.ask, 1), kMostId), text_of(at(r.ask, 2), kMostName), number_of(at(r.ask, 3)),
-                   text_of(at(r.ask, 4), kMostPolicy), number_of(at(r.ask, 5))};
-    if (!log_.knows(c.id) && raft_.propose(PolicyLog::propose(c))) busy_ = log_.knows(c.id) ? "" : c.id;
+    const Change c{text_of(at(r.request, 1), kMaxIdBytes), text_of(at(r.request, 2), kMostName),
+                   number_of(at(r.request, 3)), text_of(at(r.request, 4), kMaxPolicyBytes),
+                   number_of(at(r.request, 5))};
+    if (!policy_log_.knows(c.id) && raft_.propose(PolicyLog::propose(c)))
+      pending_change_id_ = policy_log_.knows(c.id) ? "" : c.id;
   } else if (kind == "abort") {
-    const std::string id = text_of(at(r.ask, 1), kMostId);
-    const bool under_way = log_.change() && log_.change()->id == id;
-    if (!under_way && log_.knows(id)) return;
-    raft_.propose(PolicyLog::abort(id, text_of(at(r.ask, 2), kMostName), "staff aborted it"));
+    const std::string id = text_of(at(r.request, 1), kMaxIdBytes);
+    const bool under_way = policy_log_.change() && policy_log_.change()->id == id;
+    if (!under_way && policy_log_.knows(id)) return;
+    raft_.propose(PolicyLog::abort(id, text_of(at(r.request, 2), kMostName), "an operator aborted it"));
   } else if (kind == "replace") {
-    const std::string old = text_of(at(r.ask, 1), kMostName), fresh = text_of(at(r.ask, 2), kMostName);
-    if (log_.voters().contains(old)) raft_.propose(PolicyLog::replace(old, fresh));
+    const std::string old_voter = text_of(at(r.request, 1), kMostName),
+                      new_voter = text_of(at(r.request, 2), kMostName);
+    if (policy_log_.voters().contains(old_voter))
+      raft_.propose(PolicyLog::replace_voter(old_voter, new_voter));
   }
 }
 
-// Whom the change waits for.
-std::vector<std::pair<std::string, std::string>> Leadership::waiting(Time now) const {
+// The relays that the change waits for, or that do not apply the version in force, and why.
+std::vector<std::pair<std::string, std::string>> Leadership::waiting_for(Time now) const {
   std::vector<std::pair<std::string, std::string>> out;
-  const auto& change = log_.change();
+  const auto& change = policy_log_.change();
   size_t more = 0;
-  for (const std::string& name : settings_.names) {
-    const auto found = lessees_.find(name);
-    if (found == lessees_.end()) continue;
-    const Lessee& p = found->second;
+  for (const std::string& name : settings_.relays) {
+    const auto found = lease_holders_.find(name);
+    if (found == lease_holders_.end()) continue;
+    const LeaseHolder& p = found->second;
     std::string why;
-    if (change && p.yes != change->id && p.lease_until >= now) {
-      why = p.no == change->id ? "no: " + p.why : "no answer, lease for " + ms_text(p.lease_until - now);
-    } else if (!p.cannot.empty()) {
-      why = "stays out: " + p.cannot;
-    } else if (!change && (p.heard < 0 || now - p.heard > settings_.term)) {
-      why = "not heard";
-    } else if (!change && p.version != log_.version()) {
-      why = "holds version " + std::to_string(p.version);
+    if (change && p.accepted_change_id != change->id && p.lease_expires_at >= now) {
+      why = p.rejected_change_id == change->id
+                ? "rejected: " + p.rejection_reason
+                : "no answer, lease expires in " + format_ms(p.lease_expires_at - now);
+    } else if (!p.unsupported_reason.empty()) {
+      why = "accepts no messages: " + p.unsupported_reason;
+    } else if (!change && (p.last_received < 0 || now - p.last_received > settings_.lease_duration)) {
+      why = "not reachable";
+    } else if (!change && p.version != policy_log_.version()) {
+      why = "applies version " + std::to_string(p.version);
     }
     if (why.empty()) continue;
-    if (out.size() < kMostWaiting) {
-      out.emplace_back(name, clipped(why, kMostReason));
+    if (out.size() < kMaxWaitingFor) {
+      out.emplace_back(name, truncated(why, kMaxReasonBytes));
     } else {
       ++more;
     }
@@ -57,56 +64,57 @@
   return out;
 }
 
-void Leadership::judge(Time now) {
-  const auto& change = log_.change();
-  if (!change) return deciding_.clear();
-  if (deciding_ == change->id) return;
-  for (const std::string& name : settings_.names) {
-    const Lessee& p = lessees_[name];
-    if (p.yes == change->id) continue;
-    bool over = now > p.lease_until;
-    if (settings_.plant == AgreementPlant::kNoLeaseWait)
-      over = p.heard < 0 || now - p.heard > settings_.period;
-    if (p.no == change->id && !over) {
-      if (raft_.propose(PolicyLog::abort(change->id, name, p.why)) && log_.change())
-        deciding_ = log_.change()->id;
+void Leadership::evaluate_change(Time now) {
+  const auto& change = policy_log_.change();
+  if (!change) return deciding_change_id_.clear();
+  if (deciding_change_id_ == change->id) return;
+  for (const std::string& name : settings_.relays) {
+    const LeaseHolder& p = lease_holders_[name];
+    if (p.accepted_change_id == change->id) continue;
+    bool expired = now > p.lease_expires_at;
+    if (settings_.injected_fault == AgreementInjectedFault::kSkipLeaseWait)
+      expired = p.last_received < 0 || now - p.last_received > settings_.renewal_period;
+    if (p.rejected_change_id == change->id && !expired) {
+      if (raft_.propose(PolicyLog::abort(change->id, name, p.rejection_reason)) && policy_log_.change())
+        deciding_change_id_ = policy_log_.change()->id;
       return;
     }
-    if (!over) return;
+    if (!expired) return;
   }
   const std::string id = change->id;
-  deciding_ = id;  // before it is handed to the log: no lease goes to one that has not said yes
+  deciding_change_id_ = id;  // before the proposal: from now on, no lease for a relay that has not accepted
   raft_.propose(PolicyLog::decide(id));
-  if (!log_.change()) deciding_.clear();
+  if (!policy_log_.change()) deciding_change_id_.clear();
 }
 
-// One step at a time towards the voters that the log names, each by the folder that it has now.
-void Leadership::arrange_voters(Time now) {
-  if (log_.voters().empty()) return;
-  const auto heard = [&](const std::string& name) {
-    const auto p = lessees_.find(name);
-    return p != lessees_.end() && p->second.heard >= 0 && now - p->second.heard <= 2 * settings_.period;
+// Makes one membership change at a time towards the voters that the log names, each with its present folder.
+void Leadership::reconcile_voters(Time now) {
+  if (policy_log_.voters().empty()) return;
+  const auto recently_received = [&](const std::string& name) {
+    const auto p = lease_holders_.find(name);
+    return p != lease_holders_.end() && p->second.last_received >= 0 &&
+           now - p->second.last_received <= 2 * settings_.renewal_period;
   };
   const auto servers = raft_.servers();
   for (const auto& server : servers) {
-    const bool wanted = log_.voters().contains(server.name);
+    const bool wanted = policy_log_.voters().contains(server.name);
     if (server.name == settings_.name) {
-      if (!wanted) return raft_.transfer();
-    } else if (!wanted ||
-               (heard(server.name) && server.id != server_id(server.name, lessees_[server.name].nonce))) {
-      raft_.remove(server.id);
+      if (!wanted) return raft_.transfer_leadership();
+    } else if (!wanted || (recently_received(server.name) &&
+                           server.id != server_id(server.name, lease_holders_[server.name].folder_id))) {
+      raft_.remove_server(server.id);
       return;
     }
   }
-  for (const std::string& name : log_.voters()) {
+  for (const std::string& name : policy_log_.voters()) {
     const auto server = std::ranges::find(servers, name, &Consensus::Server::name);
-    if (!heard(name)) continue;
+    if (!recently_received(name)) continue;
     if (server == servers.end()) {
-      raft_.add({server_id(name, lessees_[name].nonce), name, RAFT_SPARE});
+      raft_.add_server({server_id(name, lease_holders_[name].folder_id), name, RAFT_SPARE});
       return;
     }
     if (server->role != RAFT_VOTER) {
-      raft_.promote(server->id);
+      raft_.promote_server(server->id);
       return;
     }
   }
--- a/fleet/policy_log.cpp
+++ b/fleet/policy_log.cpp
@@ -10,128 +10,128 @@
 
 uint64_t digest_of(std::string_view text) { return XXH64(text.data(), text.size(), 0); }
 
-json packed(const Outcome& o) {
-  return {o.id, static_cast<unsigned>(o.what), o.version, o.by, o.reason, o.wall_ms};
+json encode(const Outcome& o) {
+  return {o.id, static_cast<unsigned>(o.result), o.version, o.relay, o.reason, o.wall_ms};
 }
 
-Outcome outcome_of(const json& from) {
-  const uint64_t what = number_of(at(from, 1));
-  want(what <= 2);
-  return {text_of(at(from, 0), kMostId), static_cast<Outcome::What>(what),  number_of(at(from, 2)),
-          text_of(at(from, 3), kMostId), text_of(at(from, 4), kMostReason), number_of(at(from, 5))};
+Outcome decode_outcome(const json& from) {
+  const uint64_t result = number_of(at(from, 1));
+  want(result <= 2);
+  return {text_of(at(from, 0), kMaxIdBytes), static_cast<Outcome::Result>(result),  number_of(at(from, 2)),
+          text_of(at(from, 3), kMaxIdBytes), text_of(at(from, 4), kMaxReasonBytes), number_of(at(from, 5))};
 }
 
 namespace {
 
-json packed(const Change& c) { return {c.id, c.by, c.base, c.text, c.wall_ms}; }
+json encode(const Change& c) { return {c.id, c.proposed_by, c.base_version, c.text, c.wall_ms}; }
 
-Change change_of(const json& from) {
-  return {text_of(at(from, 0), kMostId), text_of(at(from, 1), kMostId), number_of(at(from, 2)),
-          text_of(at(from, 3), kMostPolicy), number_of(at(from, 4))};
+Change decode_change(const json& from) {
+  return {text_of(at(from, 0), kMaxIdBytes), text_of(at(from, 1), kMaxIdBytes), number_of(at(from, 2)),
+          text_of(at(from, 3), kMaxPolicyBytes), number_of(at(from, 4))};
 }
 
 std::string command(json fields) { return to_cbor(fields); }
 
 }  // namespace
 
-std::string PolicyLog::reign(uint64_t term, const std::string& leader) {
+std::string PolicyLog::start_leader_term(uint64_t term, const std::string& leader) {
   return command({"reign", term, leader});
 }
-std::string PolicyLog::first(const std::string& text, const std::vector<std::string>& voters) {
+std::string PolicyLog::initial_policy(const std::string& text, const std::vector<std::string>& voters) {
   return command({"first", text, voters});
 }
-std::string PolicyLog::propose(const Change& change) { return command({"propose", packed(change)}); }
+std::string PolicyLog::propose(const Change& change) { return command({"propose", encode(change)}); }
 std::string PolicyLog::decide(const std::string& id) { return command(json::array({"decide", id})); }
-std::string PolicyLog::abort(const std::string& id, const std::string& by, const std::string& reason) {
-  return command({"abort", id, by, reason});
+std::string PolicyLog::abort(const std::string& id, const std::string& relay, const std::string& reason) {
+  return command({"abort", id, relay, reason});
 }
-std::string PolicyLog::replace(const std::string& old, const std::string& fresh) {
-  return command({"replace", old, fresh});
+std::string PolicyLog::replace_voter(const std::string& old_voter, const std::string& new_voter) {
+  return command({"replace", old_voter, new_voter});
 }
 
 bool PolicyLog::knows(const std::string& id) const {
   return (change_ && change_->id == id) || std::ranges::find(outcomes_, id, &Outcome::id) != outcomes_.end();
 }
 
-void PolicyLog::end(Outcome outcome) {
-  ++ended_;
+void PolicyLog::record_outcome(Outcome outcome) {
+  ++ended_count_;
   outcomes_.push_back(std::move(outcome));
-  if (outcomes_.size() > kMostOutcomes) outcomes_.pop_front();
+  if (outcomes_.size() > kMaxOutcomes) outcomes_.pop_front();
 }
 
 void PolicyLog::apply(std::string_view bytes) try {
-  using What = Outcome::What;
+  using Result = Outcome::Result;
   const json c = from_cbor(bytes);
-  const std::string tag = text_of(at(c, 0), kMostId);
+  const std::string tag = text_of(at(c, 0), kMaxIdBytes);
   if (tag == "reign") {
-    reign_ = number_of(at(c, 1));
+    leader_term_ = number_of(at(c, 1));
   } else if (tag == "first") {
     if (version_ > 0) return;
     std::set<std::string> voters;
-    for (const json& name : at(c, 2)) voters.insert(text_of(name, kMostId));
-    texts_ = {text_of(at(c, 1), kMostPolicy)};
+    for (const json& name : at(c, 2)) voters.insert(text_of(name, kMaxIdBytes));
+    texts_ = {text_of(at(c, 1), kMaxPolicyBytes)};
     voters_ = std::move(voters);
     version_ = 1;
     id_ = "first";
   } else if (tag == "propose") {
-    Change next = change_of(at(c, 1));
+    Change next = decode_change(at(c, 1));
     if (knows(next.id)) return;
-    std::string no;
+    std::string refusal;
     if (change_) {
-      no = "another change is under way: " + change_->id;
-    } else if (next.base != version_ || version_ == 0) {
-      no = "it was made for version " + std::to_string(next.base) + ", and " + std::to_string(version_) +
-           " is in force";
+      refusal = "another change is under way: " + change_->id;
+    } else if (next.base_version != version_ || version_ == 0) {
+      refusal = "it was made for version " + std::to_string(next.base_version) + ", and " +
+                std::to_string(version_) + " is in force";
     } else if (next.text == text()) {
-      no = "it is what is in force";
+      refusal = "it is already in force";
     }
-    if (no.empty()) {
+    if (refusal.empty()) {
       change_ = std::move(next);
     } else {
-      end({next.id, What::kRefused, 0, next.by, no, next.wall_ms});
+      record_outcome({next.id, Result::kRefused, 0, next.proposed_by, refusal, next.wall_ms});
     }
   } else if (tag == "decide") {
-    if (!change_ || change_->id != text_of(at(c, 1), kMostId)) return;
+    if (!change_ || change_->id != text_of(at(c, 1), kMaxIdBytes)) return;
     texts_.push_back(change_->text);
-    if (texts_.size() > kMostTexts) texts_.pop_front();
+    if (texts_.size() > kMaxTexts) texts_.pop_front();
     id_ = change_->id;
-    end({change_->id, What::kInForce, ++version_, change_->by, "", change_->wall_ms});
+    record_outcome({change_->id, Result::kInForce, ++version_, change_->proposed_by, "", change_->wall_ms});
     change_.reset();
   } else if (tag == "abort") {
-    const std::string id = text_of(at(c, 1), kMostId);
-    const std::string by = text_of(at(c, 2), kMostId), reason = text_of(at(c, 3), kMostReason);
+    const std::string id = text_of(at(c, 1), kMaxIdBytes);
+    const std::string relay = text_of(at(c, 2), kMaxIdBytes), reason = text_of(at(c, 3), kMaxReasonBytes);
     const bool under_way = change_ && change_->id == id;
     if (!under_way && knows(id)) return;
-    end({id, What::kAborted, 0, by, reason, under_way ? change_->wall_ms : 0});
+    record_outcome({id, Result::kAborted, 0, relay, reason, under_way ? change_->wall_ms : 0});
     if (under_way) change_.reset();
   } else if (tag == "replace") {
-    const std::string old = text_of(at(c, 1), kMostId), fresh = text_of(at(c, 2), kMostId);
-    if (!voters_.contains(old) || voters_.contains(fresh)) return;
-    voters_.erase(old);
-    voters_.insert(fresh);
+    const std::string old_voter = text_of(at(c, 1), kMaxIdBytes), new_voter = text_of(at(c, 2), kMaxIdBytes);
+    if (!voters_.contains(old_voter) || voters_.contains(new_voter)) return;
+    voters_.erase(old_voter);
+    voters_.insert(new_voter);
   }
 } catch (const Bad&) {
 }
 
 std::string PolicyLog::state() const {
   json outcomes = json::array();
-  for (const Outcome& o : outcomes_) outcomes.push_back(packed(o));
-  return to_cbor(
-      {version_, id_, texts_, change_ ? packed(*change_) : json(nullptr), outcomes, ended_, reign_, voters_});
+  for (const Outcome& o : outcomes_) outcomes.push_back(encode(o));
+  return to_cbor({version_, id_, texts_, change_ ? encode(*change_) : json(nullptr), outcomes, ended_count_,
+                  leader_term_, voters_});
 }
 
 void PolicyLog::restore(std::string_view bytes) {
   const json s = from_cbor(bytes);
   PolicyLog out;
   out.version_ = number_of(at(s, 0));
-  out.id_ = text_of(at(s, 1), kMostId);
-  for (const json& text : at(s, 2)) out.texts_.push_back(text_of(text, kMostPolicy));
-  if (!at(s, 3).is_null()) out.change_ = change_of(at(s, 3));
-  for (const json& o : at(s, 4)) out.outcomes_.push_back(outcome_of(o));
-  out.ended_ = number_of(at(s, 5));
-  out.reign_ = number_of(at(s, 6));
-  for (const json& name : at(s, 7)) out.voters_.insert(text_of(name, kMostId));
-  want(out.outcomes_.size() <= kMostOutcomes && out.texts_.size() <= kMostTexts &&
+  out.id_ = text_of(at(s, 1), kMaxIdBytes);
+  for (const json& text : at(s, 2)) out.texts_.push_back(text_of(text, kMaxPolicyBytes));
+  if (!at(s, 3).is_null()) out.change_ = decode_change(at(s, 3));
+  for (const json& o : at(s, 4)) out.outcomes_.push_back(decode_outcome(o));
+  out.ended_count_ = number_of(at(s, 5));
+  out.leader_term_ = number_of(at(s, 6));
+  for (const json& name : at(s, 7)) out.voters_.insert(text_of(name, kMaxIdBytes));
+  want(out.outcomes_.size() <= kMaxOutcomes && out.texts_.size() <= kMaxTexts &&
        (out.version_ == 0) == out.texts_.empty());
   *this = std::move(out);
 }
--- a/fleet/consensus_parts.cpp
+++ b/fleet/raft_conversion.cpp
@@ -1,11 +1,10 @@
-#include "consensus_parts.h"
+#include "raft_conversion.h"
 
 #include <algorithm>
 #include <cstring>
 
 namespace umberhoist::fleet {
 
-// The library frees what is handed to it.
 raft_buffer buffer_of(std::string_view bytes) {
   raft_buffer out;
   out.base = raft_malloc(std::max<size_t>(1, bytes.size()));
@@ -33,13 +32,13 @@
   return out;
 }
 
-// An array as the library takes it over; null where there is none. All of them lie in one block, their batch:
-// of entries that it has already the library frees nothing but with the batch of the others.
-raft_entry* entries_of(const std::vector<Consensus::Stored::Entry>& from) {
+// C-Raft takes over the array. All entries share one batch block, because C-Raft drops entries that it
+// already has without freeing them: their memory is freed only with the batch of the others.
+raft_entry* entries_of(const std::vector<Consensus::PersistentState::Entry>& from) {
   if (from.empty()) return nullptr;
-  std::string all;
-  for (const auto& e : from) all += e.bytes;
-  auto* const batch = static_cast<char*>(buffer_of(all).base);
+  std::string bytes;
+  for (const auto& e : from) bytes += e.bytes;
+  auto* const batch = static_cast<char*>(buffer_of(bytes).base);
   auto* out = static_cast<raft_entry*>(raft_malloc(from.size() * sizeof(raft_entry)));
   size_t offset = 0;
   for (size_t i = 0; i < from.size(); ++i) {
@@ -52,12 +51,12 @@
   return out;
 }
 
-raft_snapshot* snapshot_of(const Consensus::Stored::Snapshot& from) {
+raft_snapshot* snapshot_of(const Consensus::PersistentState::Snapshot& from) {
   auto* out = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
   out->index = from.index;
   out->term = from.term;
   out->configuration = configuration_of(from.servers);
-  out->configuration_index = from.servers_index;
+  out->configuration_index = from.configuration_index;
   out->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
   out->bufs[0] = buffer_of(from.bytes);
   out->n_bufs = 1;
--- a/lab/budget_process.cpp
+++ b/lab/budget_process.cpp
@@ -81,7 +81,7 @@
 // and the renewals that bring the lower parts.
 BudgetAudit::BudgetAudit(int relays, Time period, Time term, std::function<Time()> now)
     : term_(term),
-      slack_(term + term * 3 / fleet::kDriftOne + 2 * period),
+      slack_(term + term * 3 / fleet::kInverseDriftBound + 2 * period),
       now_(std::move(now)),
       processes_(static_cast<size_t>(relays)) {
   for (size_t b = 0; b < kPlayBudgets.size(); ++b) {
--- a/lab/policy_audit.cpp
+++ b/lab/policy_audit.cpp
@@ -44,7 +44,7 @@
     broke(now, "P6: " + member_name(relay) + " acts under what its build cannot hold: " + r.text);
   }
   // Leases last by their relay's clock; twice the clocks' bound covers what it may be slow by.
-  const Time most = term_ + 2 * term_ / fleet::kDriftOne + 2 * fleet::kMs;
+  const Time most = term_ + 2 * term_ / fleet::kInverseDriftBound + 2 * fleet::kMs;
   const auto [first, fresh] = first_act_.try_emplace(r.version, now);
   const auto mixed = [&](int old, const Relay& o, uint64_t version, Time since) {
     const std::string next = texts_.contains(version) ? texts_.at(version) : "";
--- a/lab/sim_agreement.cpp
+++ b/lab/sim_agreement.cpp
@@ -21,7 +21,8 @@
         folders_(static_cast<size_t>(scenario.relays)),
         network_(scenario.relays, seed, [this](int member, uint64_t own, int) { return make(member, own); }) {
     for (int i = 0; i < scenario.relays; ++i) {
-      std::uniform_real_distribution<double> rate(1 - 0.4 / fleet::kDriftOne, 1 + 0.4 / fleet::kDriftOne);
+      std::uniform_real_distribution<double> rate(1 - 0.4 / fleet::kInverseDriftBound,
+                                                  1 + 0.4 / fleet::kInverseDriftBound);
       clocks_.push_back({static_cast<Time>(chance_() % 1'000'000'000) + fleet::kSecond, rate(chance_)});
     }
   }
@@ -128,11 +129,11 @@
       AgreementGuest* g = guest(i);
       const Agreement::View v = g->agreement().view(g->local(now));
       for (const auto& o : v.outcomes) {
-        if (o.what == fleet::Outcome::What::kAborted) audit_.aborted(o.id);
+        if (o.result == fleet::Outcome::Result::kAborted) audit_.aborted(o.id);
         const auto asked = proposed_.find(o.id);
         if (asked == proposed_.end() || ended_.contains(o.id)) continue;
         ended_[o.id] = now - asked->second;
-        if (o.what == fleet::Outcome::What::kInForce) in_force_[o.version] = {asked->second, -1};
+        if (o.result == fleet::Outcome::Result::kInForce) in_force_[o.version] = {asked->second, -1};
       }
     }
     for (auto& [version, when] : in_force_) {
@@ -154,12 +155,12 @@
       if (!network_.up(i)) continue;
       AgreementGuest* g = guest(i);
       const Agreement::View v = g->agreement().view(g->local(end));
-      if (v.version != newest || !v.closed.empty()) {
+      if (v.version != newest || !v.closed_reason.empty()) {
         unsettled = member_name(i) + " holds version " + std::to_string(v.version) + " of " +
-                    std::to_string(newest) + (v.closed.empty() ? "" : ", shut: " + v.closed);
+                    std::to_string(newest) + (v.closed_reason.empty() ? "" : ", shut: " + v.closed_reason);
       }
       if (v.change) unsettled = member_name(i) + " still sees " + v.change->id + " under way";
-      if (!v.asking.empty()) unsettled = member_name(i) + " still hands in " + v.asking;
+      if (!v.pending_request.empty()) unsettled = member_name(i) + " still hands in " + v.pending_request;
     }
     out["oracles"]["everywhere_or_nowhere"] = {
         {"held", audit_.broken().empty()},
--- a/lab/sim_budgets.cpp
+++ b/lab/sim_budgets.cpp
@@ -21,7 +21,8 @@
         folders_(static_cast<size_t>(scenario.relays)),
         network_(scenario.relays, seed, [this](int member, uint64_t own, int) { return make(member, own); }) {
     for (int i = 0; i < scenario.relays; ++i) {
-      std::uniform_real_distribution<double> rate(1 - 0.4 / fleet::kDriftOne, 1 + 0.4 / fleet::kDriftOne);
+      std::uniform_real_distribution<double> rate(1 - 0.4 / fleet::kInverseDriftBound,
+                                                  1 + 0.4 / fleet::kInverseDriftBound);
       clocks_.push_back({static_cast<Time>(chance_() % 1'000'000'000) + fleet::kSecond, rate(chance_)});
     }
   }
@@ -56,7 +57,7 @@
                                                    clocks_[m], audit_, fleet::Divider::Plant::kNothing);
     auto settings =
         agreement_settings(member, scenario_.relays, scenario_.voters(), period_, term_, folders_[m].build);
-    settings.rider = process.get();
+    settings.piggyback = process.get();
     audit_.begins(member, std::move(process));
     auto guest = std::make_unique<AgreementGuest>(member, std::move(settings), folders_[m], policy_audit_,
                                                   clocks_[m], seed);
--- a/relay/config_policy.cpp
+++ b/relay/config_policy.cpp
@@ -44,9 +44,10 @@
 size_t policy_disk(const Config& config) { return config.fleet ? config.disk_bytes / 4 : 0; }
 
 size_t most_policy(const Config& config) {
-  using umberhoist::fleet::kFileRest, umberhoist::fleet::kFileTexts;
+  using umberhoist::fleet::kMaxFileOverheadBytes, umberhoist::fleet::kMaxFilePolicies;
   const size_t file = policy_disk(config) / 2;
-  return std::min(umberhoist::fleet::kMostPolicy, (file - std::min(file, kFileRest)) / kFileTexts);
+  return std::min(umberhoist::fleet::kMaxPolicyBytes,
+                  (file - std::min(file, kMaxFileOverheadBytes)) / kMaxFilePolicies);
 }
 
 Config with_policy(const Config& config, const std::string& policy) {
--- a/relay/policy_calls.cpp
+++ b/relay/policy_calls.cpp
@@ -44,7 +44,7 @@
   } else if (word == "ABORT") {
     no = agreement_->abort(lease_now(), id);
   } else if (word == "REPLACE") {
-    no = agreement_->replace(lease_now(), id, other.substr(0, other.find(' ')));
+    no = agreement_->replace_voter(lease_now(), id, other.substr(0, other.find(' ')));
   } else {
     return "ERR unknown call\n";
   }
@@ -79,14 +79,14 @@
   out += open() ? "door open lease_ms=" + std::to_string(std::max<Time>(0, until_ - now) / 1000) + "\n"
                 : "door shut " + closed() + "\n";
   out += "leader " + (v.leader.empty() ? "-" : v.leader) +
-         " heard_ms=" + (v.heard < 0 ? "-" : std::to_string((now - v.heard) / 1000)) +
-         " newest=" + std::to_string(v.newest) + " term=" + std::to_string(v.term) + "\n";
-  if (!v.asking.empty()) out += "asking " + one_line(v.asking) + "\n";
+         " heard_ms=" + (v.last_received < 0 ? "-" : std::to_string((now - v.last_received) / 1000)) +
+         " newest=" + std::to_string(v.newest_version) + " term=" + std::to_string(v.leader_term) + "\n";
+  if (!v.pending_request.empty()) out += "asking " + one_line(v.pending_request) + "\n";
   if (v.change) {
-    out += "change " + one_line(v.change->id) + " by=" + v.change->by +
-           " base=" + std::to_string(v.change->base) + "\n";
+    out += "change " + one_line(v.change->id) + " by=" + v.change->proposed_by +
+           " base=" + std::to_string(v.change->base_version) + "\n";
   }
-  for (const auto& [name, why] : v.waiting) out += "waiting " + name + " " + one_line(why) + "\n";
+  for (const auto& [name, why] : v.waiting_for) out += "waiting " + name + " " + one_line(why) + "\n";
   return out + "END\n";
 }
 
@@ -94,8 +94,8 @@
   if (!agreement_) return "ERR " + ended_ + "\n";
   std::string out = "OK\n";
   for (const auto& o : agreement_->view(lease_now()).outcomes) {
-    out += one_line(o.id) + " " + fleet::kOutcomeNames[static_cast<size_t>(o.what)] +
-           (o.version > 0 ? " version=" + std::to_string(o.version) : "") + " by=" + o.by +
+    out += one_line(o.id) + " " + fleet::kOutcomeNames[static_cast<size_t>(o.result)] +
+           (o.version > 0 ? " version=" + std::to_string(o.version) : "") + " by=" + o.relay +
            " at_ms=" + std::to_string(o.wall_ms) + (o.reason.empty() ? "" : " " + one_line(o.reason)) + "\n";
   }
   return out + "END\n";
@@ -109,18 +109,18 @@
   const Time now = lease_now();
   const Agreement::View v = agreement_ ? agreement_->view(now) : Agreement::View{};
   line("version", v.version);
-  line("newest", v.newest);
+  line("newest", v.newest_version);
   line("open", open() ? 1 : 0);
   line("lease_ms", static_cast<uint64_t>(std::max<Time>(0, until_ - now) / 1000));
-  line("leads", agreement_ && agreement_->leads() ? 1 : 0);
+  line("leads", agreement_ && agreement_->is_leader() ? 1 : 0);
   line("change_under_way", v.change ? 1 : 0);
-  line("waiting_for", v.waiting.size());
+  line("waiting_for", v.waiting_for.size());
   line("turned_away_total", turned_away_);
   line("connections", wire_.connections());
   line("messages_sent_total", wire_.sent());
   line("bytes_sent_total", wire_.sent_bytes());
   line("messages_dropped_total", wire_.dropped());
-  line("messages_unreadable_total", agreement_ ? agreement_->unreadable() : 0);
+  line("messages_unreadable_total", agreement_ ? agreement_->malformed_messages() : 0);
   line("file_bytes", file_.size());
   return out;
 }
--- a/relay/policy_link.cpp
+++ b/relay/policy_link.cpp
@@ -44,10 +44,10 @@
       own_(policy_of(config)),
       host_(std::move(host)),
       file_(path_in(config.state)),
-      wire_(io, *config.fleet, config.name, fleet::kMostMessage,
+      wire_(io, *config.fleet, config.name, fleet::kMaxAgreementMessageBytes,
             [this](const std::string& from, std::string_view bytes) {
               if (!agreement_) return;
-              agreement_->received(lease_now(), from, bytes);
+              agreement_->on_datagram(lease_now(), from, bytes);
               step();
             }),
       timer_(io),
@@ -60,15 +60,15 @@
   s.cluster = fleet_.cluster;
   s.name = name_;
   for (const auto& peer : fleet_.peers) {
-    s.names.push_back(peer.name);
+    s.relays.push_back(peer.name);
     if (peer.voter) s.voters.push_back(peer.name);
   }
-  s.period = fleet_.period;
-  s.term = fleet_.term;
-  s.own = own_;
-  s.program = program_;
-  s.check = host_.check;
-  s.rider = host_.rider;
+  s.renewal_period = fleet_.period;
+  s.lease_duration = fleet_.term;
+  s.local_policy = own_;
+  s.program_version = program_;
+  s.check_policy = host_.check;
+  s.piggyback = host_.rider;
   return s;
 }
 
@@ -76,7 +76,7 @@
   ended_.clear();
   agreement_.emplace(settings(), file_.read(), random_());
   // What another process of this name has adopted since this one read its folder.
-  if (const std::string held = agreement_->text();
+  if (const std::string held = agreement_->policy_text();
       !held.empty() && held != own_ && host_.check(held).empty()) {
     own_ = held;
     host_.adopt(held);
@@ -103,26 +103,26 @@
   if (stepping_) return;
   stepping_ = true;
   while (agreement_) {
-    const std::vector<Agreement::Output> outputs = agreement_->take();
+    const std::vector<Agreement::Output> outputs = agreement_->take_outputs();
     if (outputs.empty()) break;
     for (const Agreement::Output& output : outputs) {
       if (const auto* write = std::get_if<Agreement::Write>(&output)) {
-        if (write->whole ? file_.replace(write->bytes) : file_.append(write->bytes)) continue;
+        if (write->replace ? file_.replace(write->bytes) : file_.append(write->bytes)) continue;
         stepping_ = false;
         return end("the record of the fleet's policy cannot be written");
       }
       if (const auto* send = std::get_if<Agreement::Send>(&output)) {
         wire_.send(send->to, send->bytes);
-      } else if (const auto* adopt = std::get_if<Agreement::Adopt>(&output)) {
+      } else if (const auto* adopt = std::get_if<Agreement::ApplyPolicy>(&output)) {
         log_info("policy_adopted",
                  "policy: version " + std::to_string(adopt->version) + " (" + one_line(adopt->id) +
                      ") holds from now on",
                  {{"version", adopt->version}, {"id", adopt->id}});
         own_ = adopt->text;
         host_.adopt(adopt->text);
-      } else if (const auto* door = std::get_if<Agreement::Door>(&output)) {
+      } else if (const auto* door = std::get_if<Agreement::Admission>(&output)) {
         until_ = door->until;
-      } else if (const auto* word = std::get_if<Agreement::Word>(&output)) {
+      } else if (const auto* word = std::get_if<Agreement::LogLine>(&output)) {
         log_info(word->event, "policy: " + one_line(word->text));
       }
     }
@@ -132,11 +132,11 @@
 }
 
 void PolicyLink::arm() {
-  if (!agreement_ || agreement_->next() == fleet::kNever) return;
-  timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, agreement_->next() - lease_now())));
+  if (!agreement_ || agreement_->next_wakeup() == fleet::kNever) return;
+  timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, agreement_->next_wakeup() - lease_now())));
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error || !agreement_) return;
-    agreement_->woke(lease_now());
+    agreement_->on_timer(lease_now());
     step();
   });
 }
@@ -148,7 +148,7 @@
 
 std::string PolicyLink::closed() const {
   if (open()) return "";
-  return one_line(agreement_ ? agreement_->view(lease_now()).closed : ended_);
+  return one_line(agreement_ ? agreement_->view(lease_now()).closed_reason : ended_);
 }
 
 void PolicyLink::retune(const Config& config) {
@@ -156,7 +156,7 @@
   wire_.retune(fleet_);
   if (!agreement_) return;
   const Agreement::Settings now = settings();
-  agreement_->configure(lease_now(), now.names, now.voters);
+  agreement_->configure(lease_now(), now.relays, now.voters);
   step();
 }
 
--- a/tests/fleet/agreement_model_test.cpp
+++ b/tests/fleet/agreement_model_test.cpp
@@ -1,10 +1,11 @@
-// A model checker over the real state machine of the agreement, C-Raft's core in it: three relays, two
-// changes, messages that come in any order of channels, are lost or repeated, processes that die between any
-// two steps and come back with the same build or an older one, clocks that go at different rates.
+// Model checker of the policy agreement on its real implementation, including C-Raft: three relays, two
+// changes, channels that deliver in any order relative to each other, drop or duplicate messages, processes
+// that crash between any two outputs and restart with the same or an older build, clocks of different rates.
 //
-// C-Raft's state cannot be copied, so that a state is reached again by doing again what led to it (as CHESS
-// does, Musuvathi and others, 2008); states are told apart by a hash of all that decides what comes next.
-// Breadth first: the first trace found is a shortest one. Invariants: the audit's P1, P2, P4, P6.
+// C-Raft's state cannot be copied, so a state is reached again by replaying the steps that led to it (as in
+// CHESS, Musuvathi et al., 2008); states are compared by a hash of everything that determines what follows.
+// The search is breadth-first, so the first trace found is a shortest one. Invariants: P1, P2, P4 and P6 of
+// PolicyAudit.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -21,21 +22,21 @@
 
 constexpr int kRelays = 3;
 constexpr Time kPeriod = 100 * kMs;
-constexpr Time kTerm = 2400 * kMs;
+constexpr Time kLeaseDuration = 2400 * kMs;
 constexpr Time kStep = kPeriod / 2;
 
 struct Step {
   enum Kind {
     kDeliver,
     kExchange,
-    kLose,
-    kRepeat,
-    kTime,
-    kAlone,
+    kDrop,
+    kDuplicate,
+    kAdvanceTime,
+    kIsolate,
     kCrash,
-    kDieIn,
+    kCrashAtOutput,
     kStart,
-    kStartOld,
+    kStartOldBuild,
     kPropose
   } kind;
   int a = 0;
@@ -44,53 +45,54 @@
     const std::string x = member_name(a), y = member_name(b);
     switch (kind) {
       case kDeliver:
-        return "all from " + x + " comes to " + y;
+        return "all messages from " + x + " reach " + y;
       case kExchange:
-        return x + " and " + y + " exchange all that they say";
-      case kLose:
-        return "all from " + x + " to " + y + " is lost";
-      case kRepeat:
-        return "the oldest from " + x + " to " + y + " comes twice";
-      case kAlone:
-        return x + " is cut off while a term and a half passes for all";
-      case kTime:
+        return x + " and " + y + " exchange all their messages";
+      case kDrop:
+        return "all messages from " + x + " to " + y + " are lost";
+      case kDuplicate:
+        return "the oldest message from " + x + " to " + y + " arrives twice";
+      case kIsolate:
+        return x + " is isolated for one and a half lease durations";
+      case kAdvanceTime:
         return "half a period passes";
       case kCrash:
         return x + " is killed";
-      case kDieIn:
-        return x + " will die in its step " + std::to_string(b + 1);
+      case kCrashAtOutput:
+        return x + " will crash at its output " + std::to_string(b + 1);
       case kStart:
         return x + " starts";
-      case kStartOld:
+      case kStartOldBuild:
         return x + " starts with an older build";
       default:
-        return "a change " + std::string(b == 0 ? "that the older build cannot hold " : "") +
+        return "a change " + std::string(b == 0 ? "that the older build does not support " : "") +
                "is proposed at " + x;
     }
   }
 };
 
-struct Budget {  // of what may go wrong
+struct FaultBudget {  // how many faults and proposals a trace may contain
   int crashes = 1;
-  int losses = 2;
-  int repeats = 1;
+  int drops = 2;
+  int duplicates = 1;
   int proposals = 2;
-  bool coarse = false;  // whole exchanges between two relays, and no deaths between two steps
+  bool coarse = false;  // whole exchanges between two relays, and no crashes between outputs
 };
 
 class World {
  public:
-  World(int voters, Agreement::Plant plant, int build = 2) : voters_(voters), plant_(plant), audit_(kTerm) {
+  World(int voters, Agreement::InjectedFault injected_fault, int build = 2)
+      : voters_(voters), injected_fault_(injected_fault), audit_(kLeaseDuration) {
     for (int i = 0; i < kRelays; ++i) {
       folders_[at(i)].build = i == 2 ? build : 2;
       start(i);
     }
   }
 
-  // All hold version 1 and are open.
+  // Runs until all relays accept messages under version 1 and there is a leader.
   void settle() {
-    for (int n = 0; n < 200 && !quiet(); ++n) round();
-    EXPECT_TRUE(quiet());
+    for (int n = 0; n < 200 && !is_settled(); ++n) round();
+    EXPECT_TRUE(is_settled());
   }
   void round() {
     for (int pass = 0; pass < 4; ++pass) {
@@ -98,16 +100,16 @@
         for (int j = 0; j < kRelays; ++j) deliver(i, j);
       }
     }
-    pass_time();
+    advance_time();
   }
   int leader() const {
     for (int i = 0; i < kRelays; ++i) {
-      if (guests_[at(i)] && guests_[at(i)]->agreement().leads()) return i;
+      if (guests_[at(i)] && guests_[at(i)]->agreement().is_leader()) return i;
     }
     return -1;
   }
 
-  void take(const Step& s) {
+  void execute(const Step& s) {
     switch (s.kind) {
       case Step::kDeliver:
         return deliver(s.a, s.b);
@@ -117,37 +119,37 @@
           deliver(s.b, s.a);
         }
         return;
-      case Step::kLose:
-        --budget.losses;
-        return ways_[at(s.a)][at(s.b)].clear();
-      case Step::kRepeat: {
-        --budget.repeats;
-        auto& way = ways_[at(s.a)][at(s.b)];
-        way.push_front(way.front());
+      case Step::kDrop:
+        --budget.drops;
+        return channels_[at(s.a)][at(s.b)].clear();
+      case Step::kDuplicate: {
+        --budget.duplicates;
+        auto& channel = channels_[at(s.a)][at(s.b)];
+        channel.push_front(channel.front());
         return deliver(s.a, s.b);
       }
-      case Step::kAlone:
-        --budget.losses;
-        for (Time t = 0; t < 3 * kTerm / 2; t += kStep) {
+      case Step::kIsolate:
+        --budget.drops;
+        for (Time t = 0; t < 3 * kLeaseDuration / 2; t += kStep) {
           for (int k = 0; k < kRelays; ++k) {
-            ways_[at(s.a)][at(k)].clear();
-            ways_[at(k)][at(s.a)].clear();
+            channels_[at(s.a)][at(k)].clear();
+            channels_[at(k)][at(s.a)].clear();
           }
           round();
         }
         return;
-      case Step::kTime:
-        return pass_time();
+      case Step::kAdvanceTime:
+        return advance_time();
       case Step::kCrash:
         --budget.crashes;
         return crash(s.a);
-      case Step::kDieIn:
+      case Step::kCrashAtOutput:
         --budget.crashes;
         guests_[at(s.a)]->dies_after = s.b;
         return;
       case Step::kStart:
         return start(s.a);
-      case Step::kStartOld:
+      case Step::kStartOldBuild:
         folders_[at(s.a)].build = 1;
         return start(s.a);
       case Step::kPropose: {
@@ -156,43 +158,43 @@
         const std::string id = s.b == 0 ? "newer" : "other";
         g.agreement().propose(g.local(now_), id, (s.b == 0 ? "need=2 " : "need=1 ") + id, 0);
         g.carry_out(now_);
-        ring(s.a);
+        run_timers(s.a);
       }
     }
   }
 
-  std::vector<Step> steps() const {
+  std::vector<Step> enabled_steps() const {
     std::vector<Step> out;
     for (int i = 0; i < kRelays; ++i) {
       for (int j = 0; j < kRelays; ++j) {
-        if (ways_[at(i)][at(j)].empty() && (!budget.coarse || ways_[at(j)][at(i)].empty())) continue;
+        if (channels_[at(i)][at(j)].empty() && (!budget.coarse || channels_[at(j)][at(i)].empty())) continue;
         if (budget.coarse) {
           if (i < j) out.push_back({Step::kExchange, i, j});
-          if (budget.losses > 0 && !ways_[at(i)][at(j)].empty()) out.push_back({Step::kLose, i, j});
+          if (budget.drops > 0 && !channels_[at(i)][at(j)].empty()) out.push_back({Step::kDrop, i, j});
           continue;
         }
         out.push_back({Step::kDeliver, i, j});
-        if (budget.losses > 0) out.push_back({Step::kLose, i, j});
-        if (budget.repeats > 0) out.push_back({Step::kRepeat, i, j});
+        if (budget.drops > 0) out.push_back({Step::kDrop, i, j});
+        if (budget.duplicates > 0) out.push_back({Step::kDuplicate, i, j});
       }
       if (!guests_[at(i)]) {
         out.push_back({Step::kStart, i});
-        if (folders_[at(i)].build == 2) out.push_back({Step::kStartOld, i});
+        if (folders_[at(i)].build == 2) out.push_back({Step::kStartOldBuild, i});
         continue;
       }
       if (budget.crashes > 0) {
         out.push_back({Step::kCrash, i});
-        for (int k = 0; k < 3 && !budget.coarse; ++k) out.push_back({Step::kDieIn, i, k});
+        for (int k = 0; k < 3 && !budget.coarse; ++k) out.push_back({Step::kCrashAtOutput, i, k});
       }
       if (budget.proposals > 0) out.push_back({Step::kPropose, i, budget.proposals % 2});
     }
-    for (int i = 0; i < kRelays && budget.coarse && budget.losses > 0; ++i) out.push_back({Step::kAlone, i});
-    out.push_back({Step::kTime});
+    for (int i = 0; i < kRelays && budget.coarse && budget.drops > 0; ++i) out.push_back({Step::kIsolate, i});
+    out.push_back({Step::kAdvanceTime});
     return out;
   }
 
   uint64_t fingerprint() const {
-    uint64_t out = static_cast<uint64_t>(budget.crashes * 1000 + budget.losses * 100 + budget.repeats * 10 +
+    uint64_t out = static_cast<uint64_t>(budget.crashes * 1000 + budget.drops * 100 + budget.duplicates * 10 +
                                          budget.proposals);
     const auto mix = [&](uint64_t v) { out = (out ^ v) * 1099511628211u; };
     for (int i = 0; i < kRelays; ++i) {
@@ -201,9 +203,9 @@
       mix(g ? g->agreement().fingerprint(g->local(now_)) : std::hash<std::string>()(folders_[at(i)].file));
       mix(g ? static_cast<uint64_t>(g->dies_after + 1) : 0);
       mix(audit_.open(i, now_));
-      for (const auto& way : ways_[at(i)]) {
-        mix(way.size());
-        for (const std::string& bytes : way) mix(std::hash<std::string>()(bytes));
+      for (const auto& channel : channels_[at(i)]) {
+        mix(channel.size());
+        for (const std::string& bytes : channel) mix(std::hash<std::string>()(bytes));
       }
     }
     return out;
@@ -212,12 +214,12 @@
   const std::string& broken() const { return audit_.broken(); }
   uint64_t newest() const { return audit_.newest(); }
 
-  Budget budget;
+  FaultBudget budget;
 
  private:
   static size_t at(int i) { return static_cast<size_t>(i); }
 
-  bool quiet() const {
+  bool is_settled() const {
     for (int i = 0; i < kRelays; ++i) {
       if (audit_.version(i) == 0 || !audit_.open(i, now_)) return false;
     }
@@ -225,14 +227,16 @@
   }
 
   void start(int i) {
-    auto s = agreement_settings(i, kRelays, voters_, kPeriod, kTerm, folders_[at(i)].build);
-    s.plant = plant_;
-    // Rates lie at the bound: of two clocks one goes 1 in 500 faster.
-    const double rate = i == 0 ? 1 : i == 1 ? 1 + 1.0 / fleet::kDriftOne : 1 - 0.9 / fleet::kDriftOne;
-    ++lives_;
+    auto s = agreement_settings(i, kRelays, voters_, kPeriod, kLeaseDuration, folders_[at(i)].build);
+    s.injected_fault = injected_fault_;
+    // One clock is faster than n0's by the whole drift bound, another slower by 0.9 of it.
+    const double rate = i == 0   ? 1
+                        : i == 1 ? 1 + 1.0 / fleet::kInverseDriftBound
+                                 : 1 - 0.9 / fleet::kInverseDriftBound;
+    ++incarnations_;
     guests_[at(i)] = std::make_unique<AgreementGuest>(i, std::move(s), folders_[at(i)], audit_,
                                                       AgreementGuest::Clock{fleet::kSecond * (i + 1), rate},
-                                                      static_cast<uint64_t>(lives_));
+                                                      static_cast<uint64_t>(incarnations_));
     guests_[at(i)]->start(now_);
     collect(i);
   }
@@ -241,12 +245,12 @@
 
   void collect(int i) {
     AgreementGuest& g = *guests_[at(i)];
-    for (auto& d : g.take()) ways_[at(i)][at(d.to.back() - '0')].push_back(std::move(d.bytes));
+    for (auto& d : g.take()) channels_[at(i)][at(d.to.back() - '0')].push_back(std::move(d.bytes));
     if (g.dead()) crash(i);
   }
 
-  void ring(int i) {
-    // What is due at once is due a microsecond later on a clock of another rate.
+  void run_timers(int i) {
+    // A timer that is due now may be due up to two microseconds later, as clocks of other rates round.
     for (int n = 0; n < 4 && guests_[at(i)] && guests_[at(i)]->next() <= now_ + 2; ++n) {
       now_ = std::max(now_, guests_[at(i)]->next());
       guests_[at(i)]->woke(now_);
@@ -255,15 +259,15 @@
   }
 
   void deliver(int from, int to) {
-    for (const std::string& bytes : std::exchange(ways_[at(from)][at(to)], {})) {
+    for (const std::string& bytes : std::exchange(channels_[at(from)][at(to)], {})) {
       if (!guests_[at(to)]) return;
       guests_[at(to)]->received(now_, member_name(from), bytes);
       collect(to);
-      ring(to);
+      run_timers(to);
     }
   }
 
-  void pass_time() {
+  void advance_time() {
     const Time until = now_ + kStep;
     for (;;) {
       int first = -1;
@@ -282,41 +286,41 @@
   }
 
   int voters_;
-  Agreement::Plant plant_;
+  Agreement::InjectedFault injected_fault_;
   PolicyAudit audit_;
   Time now_ = 0;
-  int lives_ = 0;
+  int incarnations_ = 0;
   std::array<AgreementGuest::Folder, kRelays> folders_;
   std::array<std::unique_ptr<AgreementGuest>, kRelays> guests_;
-  std::array<std::array<std::deque<std::string>, kRelays>, kRelays> ways_;
+  std::array<std::array<std::deque<std::string>, kRelays>, kRelays> channels_;
 };
 
-struct Checked {
+struct CheckResult {
   size_t states = 0;
   size_t depth = 0;
-  uint64_t newest = 0;             // version in force in any state
-  std::vector<std::string> trace;  // to the first state that breaks an invariant
+  uint64_t newest = 0;             // highest version in force in any state
+  std::vector<std::string> trace;  // to the first state that violates an invariant
   std::string broken;
 };
 
-// `begin` leads to the state from which it is searched.
-Checked check(size_t most_states, const std::function<std::unique_ptr<World>()>& begin) {
-  Checked out;
-  std::deque<std::vector<Step>> open = {{}};
+// Explores the states that are reachable from the one that make_world() returns.
+CheckResult explore(size_t max_states, const std::function<std::unique_ptr<World>()>& make_world) {
+  CheckResult out;
+  std::deque<std::vector<Step>> frontier = {{}};
   std::unordered_set<uint64_t> seen;
-  const auto again = [&](const std::vector<Step>& path) {
-    auto world = begin();
-    for (const Step& s : path) world->take(s);
+  const auto replay = [&](const std::vector<Step>& path) {
+    auto world = make_world();
+    for (const Step& s : path) world->execute(s);
     return world;
   };
-  while (!open.empty() && out.states < most_states) {
-    const std::vector<Step> path = std::move(open.front());
-    open.pop_front();
-    const std::vector<Step> steps = again(path)->steps();
+  while (!frontier.empty() && out.states < max_states) {
+    const std::vector<Step> path = std::move(frontier.front());
+    frontier.pop_front();
+    const std::vector<Step> steps = replay(path)->enabled_steps();
     for (const Step& step : steps) {
       std::vector<Step> next = path;
       next.push_back(step);
-      const auto world = again(next);
+      const auto world = replay(next);
       if (!seen.insert(world->fingerprint()).second) continue;
       ++out.states;
       out.depth = next.size();
@@ -326,44 +330,47 @@
         out.broken = world->broken();
         return out;
       }
-      open.push_back(std::move(next));
+      frontier.push_back(std::move(next));
     }
   }
   return out;
 }
 
-std::unique_ptr<World> settled(int voters, Agreement::Plant plant, Budget budget, int build = 2) {
-  auto world = std::make_unique<World>(voters, plant, build);
+std::unique_ptr<World> settled_world(int voters, Agreement::InjectedFault injected_fault, FaultBudget budget,
+                                     int build = 2) {
+  auto world = std::make_unique<World>(voters, injected_fault, build);
   world->settle();
   world->budget = budget;
   return world;
 }
 
-// A change that an older build cannot hold is in the voters' log; relay 2, no voter, has not heard of it.
-std::unique_ptr<World> under_way(Agreement::Plant plant, Budget budget, int build = 2) {
-  auto world = settled(2, plant, budget, build);
-  world->take({Step::kPropose, world->leader(), 0});
-  world->take({Step::kExchange, 0, 1});
+// A change that an older build does not support is in the voters' log; relay 2, not a voter, does not know
+// it.
+std::unique_ptr<World> world_with_change(Agreement::InjectedFault injected_fault, FaultBudget budget,
+                                         int build = 2) {
+  auto world = settled_world(2, injected_fault, budget, build);
+  world->execute({Step::kPropose, world->leader(), 0});
+  world->execute({Step::kExchange, 0, 1});
   world->budget = budget;
   return world;
 }
 
-// And relay 2 has said yes to the leader.
-std::unique_ptr<World> answered(Agreement::Plant plant, Budget budget) {
-  auto world = under_way(plant, budget);
+// As above, and relay 2 has sent its acceptance to the leader.
+std::unique_ptr<World> world_with_acceptance(Agreement::InjectedFault injected_fault, FaultBudget budget) {
+  auto world = world_with_change(injected_fault, budget);
   for (int n = 0; n < 2; ++n) {
-    world->take({Step::kTime});
-    world->take({Step::kExchange, std::min(world->leader(), 2), 2});
+    world->execute({Step::kAdvanceTime});
+    world->execute({Step::kExchange, std::min(world->leader(), 2), 2});
   }
   return world;
 }
 
-size_t states(size_t usual) {
-  const char* wanted = std::getenv("MODEL_STATES");
-  return wanted == nullptr ? usual : std::strtoul(wanted, nullptr, 10);
+size_t state_limit(size_t default_limit) {
+  const char* variable = std::getenv("MODEL_STATES");
+  return variable == nullptr ? default_limit : std::strtoul(variable, nullptr, 10);
 }
 
-void expect_clean(const std::string& what, const Checked& c) {
+void expect_no_violation(const std::string& what, const CheckResult& c) {
   std::string trace;
   for (const std::string& step : c.trace) trace += step + "\n";
   EXPECT_EQ(trace + c.broken, "") << what;
@@ -371,40 +378,47 @@
               static_cast<unsigned long long>(c.newest));
 }
 
-void expect_found(const Checked& c) {
+void expect_violation(const CheckResult& c) {
   ASSERT_FALSE(c.trace.empty()) << c.states << " states, depth " << c.depth;
   std::printf("found after %zu states: %s\n", c.states, c.broken.c_str());
   for (const std::string& step : c.trace) std::printf("  %s\n", step.c_str());
 }
 
-TEST(AgreementModel, NoStateReachedBreaksAPromise) {
-  const auto nothing = Agreement::Plant::kNothing;
-  const size_t most = states(400);
+TEST(AgreementModel, NoReachedStateBreaksAnInvariant) {
+  const auto none = Agreement::InjectedFault::kNone;
+  const size_t max_states = state_limit(400);
   for (const bool coarse : {false, true}) {
-    const Budget all{1, 2, 1, 2, coarse};
+    const FaultBudget budget{1, 2, 1, 2, coarse};
     const std::string how = coarse ? ", whole exchanges" : ", every message";
     for (const int voters : {3, 2}) {
-      expect_clean(std::to_string(voters) + " of 3 vote, from rest" + how,
-                   check(most, [&] { return settled(voters, nothing, all); }));
+      expect_no_violation(std::to_string(voters) + " voters of 3, settled" + how,
+                          explore(max_states, [&] { return settled_world(voters, none, budget); }));
     }
-    expect_clean("a change under way" + how, check(most, [&] { return under_way(nothing, all); }));
-    expect_clean("a change to which one has said yes" + how,
-                 check(most, [&] { return answered(nothing, all); }));
-    expect_clean("a change under way that one cannot hold" + how,
-                 check(most, [&] { return under_way(nothing, all, 1); }));
+    expect_no_violation("a change under way" + how,
+                        explore(max_states, [&] { return world_with_change(none, budget); }));
+    expect_no_violation("a change that one relay has accepted" + how,
+                        explore(max_states, [&] { return world_with_acceptance(none, budget); }));
+    expect_no_violation("a change under way that one relay does not support" + how,
+                        explore(max_states, [&] { return world_with_change(none, budget, 1); }));
   }
 }
 
-TEST(AgreementModel, ADecisionThatDoesNotWaitForLeasesIsFound) {
-  expect_found(check(20000, [] { return under_way(Agreement::Plant::kNoLeaseWait, {0, 0, 0, 0, true}, 1); }));
+TEST(AgreementModel, DetectsADecisionThatDoesNotWaitForLeases) {
+  expect_violation(explore(20000, [] {
+    return world_with_change(Agreement::InjectedFault::kSkipLeaseWait, {0, 0, 0, 0, true}, 1);
+  }));
 }
 
-TEST(AgreementModel, AYesThatIsNotWrittenIsFound) {
-  expect_found(check(20000, [] { return answered(Agreement::Plant::kYesNotWritten, {1, 0, 0, 0, true}); }));
+TEST(AgreementModel, DetectsAnAcceptanceThatIsNotPersisted) {
+  expect_violation(explore(20000, [] {
+    return world_with_acceptance(Agreement::InjectedFault::kAcceptanceNotPersisted, {1, 0, 0, 0, true});
+  }));
 }
 
-TEST(AgreementModel, ALeaseThatIsKeptOverARestartIsFound) {
-  expect_found(check(20000, [] { return answered(Agreement::Plant::kLeaseKept, {1, 0, 0, 0, true}); }));
+TEST(AgreementModel, DetectsALeaseThatSurvivesARestart) {
+  expect_violation(explore(20000, [] {
+    return world_with_acceptance(Agreement::InjectedFault::kLeaseSurvivesRestart, {1, 0, 0, 0, true});
+  }));
 }
 
 }  // namespace
--- a/tests/fleet/budgets_play_test.cpp
+++ b/tests/fleet/budgets_play_test.cpp
@@ -57,15 +57,17 @@
 }
 
 TEST(AgreementRiders, AreNotInTheMessageWhereThereIsNone) {
-  fleet::Renew renew;
-  fleet::Grant grant;
-  const size_t old_renew = renew.packed().size(), old_grant = grant.packed().size();
-  EXPECT_EQ(fleet::Renew::of(renew.packed()).ride, "");
-  renew.ride = grant.ride = std::string("\0\xff", 2);
-  EXPECT_EQ(renew.packed().size(), old_renew + 1);  // an older build reads what is before it
-  EXPECT_EQ(grant.packed().size(), old_grant + 1);
-  EXPECT_EQ(fleet::Renew::of(fleet::from_cbor(fleet::to_cbor(renew.packed()))).ride, renew.ride);
-  EXPECT_EQ(fleet::Grant::of(fleet::from_cbor(fleet::to_cbor(grant.packed()))).ride, grant.ride);
+  fleet::LeaseRenewal renew;
+  fleet::LeaseGrant grant;
+  const size_t old_renew = renew.encode().size(), old_grant = grant.encode().size();
+  EXPECT_EQ(fleet::LeaseRenewal::decode(renew.encode()).piggyback, "");
+  renew.piggyback = grant.piggyback = std::string("\0\xff", 2);
+  EXPECT_EQ(renew.encode().size(), old_renew + 1);  // an older build reads what is before it
+  EXPECT_EQ(grant.encode().size(), old_grant + 1);
+  EXPECT_EQ(fleet::LeaseRenewal::decode(fleet::from_cbor(fleet::to_cbor(renew.encode()))).piggyback,
+            renew.piggyback);
+  EXPECT_EQ(fleet::LeaseGrant::decode(fleet::from_cbor(fleet::to_cbor(grant.encode()))).piggyback,
+            grant.piggyback);
 }
 
 }  // namespace
