--- a/access/compiled.cpp
+++ b/access/compiled.cpp
@@ -65,13 +65,13 @@
       const size_t first = Bits::first_of(left, list.index.of_kind(kind), list.index.to(zone));
       const Rule& rule = list.rules[first];
       deciders.insert(first);
-      firspool::Way way;
+      firspool::RouteRule way;
       way.allowed = rule.say != Say::kDeny;
       way.rank = rule.say == Say::kPrefer && !rule.near.test(zone) ? 1 : 0;
-      if (rule.say == Say::kLimit) way.limit = list.limits[first]->number;
+      if (rule.say == Say::kLimit) way.limit_id = list.limits[first]->number;
       if (!way.allowed) denier = std::min(denier, first);
       open = open || way.allowed;
-      out->ways.by.push_back(way);
+      out->ways.rules.push_back(way);
     }
   }
   for (const size_t i : deciders) {
--- a/access/rules.cpp
+++ b/access/rules.cpp
@@ -36,10 +36,10 @@
 }
 
 void only_keys(const json& value, const std::string& where, std::initializer_list<const char*> known) {
-  if (!value.is_object()) throw Fault(kMalformed, where, "is not an object");
+  if (!value.is_object()) throw OperatorError(kMalformed, where, "is not an object");
   for (const auto& [key, child] : value.items()) {
     if (std::ranges::find(known, key) == known.end())
-      throw Fault(kUnknownKey, where, "has the unknown key " + key);
+      throw OperatorError(kUnknownKey, where, "has the unknown key " + key);
   }
 }
 
@@ -49,8 +49,8 @@
   if (!rule.contains(key)) return nullptr;
   json& list = rule[key];
   if (!list.is_array() || list.empty()) {
-    throw Fault(kMalformed, where,
-                std::string(key) + " is not a list of one or more; leave it out to match all");
+    throw OperatorError(kMalformed, where,
+                        std::string(key) + " is not a list of one or more; leave it out to match all");
   }
   std::sort(list.begin(), list.end());
   list.erase(std::unique(list.begin(), list.end()), list.end());
@@ -63,7 +63,7 @@
   for (const json& item : *list) {
     const auto it = item.is_string() ? known.find(item.get_ref<const std::string&>()) : known.end();
     if (it == known.end())
-      throw Fault(kUnknownName, where, "names the unknown " + std::string(what) + " " + item.dump());
+      throw OperatorError(kUnknownName, where, "names the unknown " + std::string(what) + " " + item.dump());
     out.set(it->second);
   }
   return out;
@@ -75,7 +75,7 @@
   for (const json& item : *list) {
     if (!item.is_number_integer() || item.get<double>() < 0 ||
         item.get<double>() > std::numeric_limits<int>::max()) {
-      throw Fault(kBadPartner, where, "names the partner " + item.dump());
+      throw OperatorError(kBadPartner, where, "names the partner " + item.dump());
     }
     out.push_back(item.get<int>());
   }
@@ -90,7 +90,8 @@
   const bool plain = std::ranges::all_of(
       value, [](unsigned char c) { return c > ' ' && c < 0x7f && c != '"' && c != '\'' && c != '\\'; });
   if (value.empty() || value.size() > kMostId || !plain || value == kDefault) {
-    throw Fault(kBadId, where, "has the id " + (text ? "'" + value.substr(0, 2 * kMostId) + "'" : id.dump()));
+    throw OperatorError(kBadId, where,
+                        "has the id " + (text ? "'" + value.substr(0, 2 * kMostId) + "'" : id.dump()));
   }
 }
 
@@ -111,7 +112,7 @@
   const std::string where = at + " (" + out.id + ")";
   const json say = text.value("say", json());
   const auto word = std::ranges::find_if(kSays, [&](const char* s) { return say == s; });
-  if (word == std::end(kSays)) throw Fault(kUnknownSay, where, "says " + say.dump());
+  if (word == std::end(kSays)) throw OperatorError(kUnknownSay, where, "says " + say.dump());
   out.say = static_cast<Say>(word - std::begin(kSays));
   out.classes = names_of(list_in(text, "class", where), known.classes, "class", where);
   out.partners = partners_of(list_in(text, "partner", where), where);
@@ -120,15 +121,16 @@
   const json* to = list_in(text, "to", where);
   out.to = names_of(to, known.zones, "region", where);
   if (out.say == Say::kPrefer) {
-    if (to == nullptr) throw Fault(kMalformed, where, "prefers no region: to is missing");
+    if (to == nullptr) throw OperatorError(kMalformed, where, "prefers no region: to is missing");
     out.near = std::exchange(out.to, Bits(known.zones.size(), true));
   }
   if ((out.say == Say::kLimit) != text.contains("per_s"))
-    throw Fault(kBadRate, where, "and per_s do not go together");
+    throw OperatorError(kBadRate, where, "and per_s do not go together");
   if (out.say == Say::kLimit) {
     const json& rate = text["per_s"];
     out.per_s = rate.is_number() ? rate.get<double>() : 0;
-    if (!(out.per_s > 0 && out.per_s <= kMostRate)) throw Fault(kBadRate, where, "has per_s " + rate.dump());
+    if (!(out.per_s > 0 && out.per_s <= kMostRate))
+      throw OperatorError(kBadRate, where, "has per_s " + rate.dump());
   }
   out.digest = digest_of(text);
   return out;
@@ -137,7 +139,7 @@
 Rule default_rule(const json& access, const std::string& where, const Known& known) {
   const json say = access.value("default", json());
   if (say != "allow" && say != "deny")
-    throw Fault(kMalformed, where, "has a default that is neither allow nor deny");
+    throw OperatorError(kMalformed, where, "has a default that is neither allow nor deny");
   Rule out;
   out.id = kDefault;
   out.say = say == "allow" ? Say::kAllow : Say::kDeny;
@@ -156,18 +158,18 @@
   only_keys(access, where, {"default", "rules"});
   Rule last = default_rule(access, where, known);
   const json rules = access.value("rules", json::array());
-  if (!rules.is_array()) throw Fault(kMalformed, where + ".rules", "is not a list");
+  if (!rules.is_array()) throw OperatorError(kMalformed, where + ".rules", "is not a list");
   count += rules.size();
   if (count > kMostRules) {
-    throw Fault(kTooMany, where + ".rules",
-                "is above " + std::to_string(kMostRules) + " rules of all customers");
+    throw OperatorError(kTooMany, where + ".rules",
+                        "is above " + std::to_string(kMostRules) + " rules of all customers");
   }
   std::unordered_set<std::string> ids;
   for (const json& rule : rules) {
     const std::string key = where + ".rules." + std::to_string(out.rules.size());
     out.rules.push_back(parse_rule(rule, key, known));
     if (!ids.insert(out.rules.back().id).second)
-      throw Fault(kIdTwice, key, "has the id " + out.rules.back().id + " again");
+      throw OperatorError(kIdTwice, key, "has the id " + out.rules.back().id + " again");
   }
   out.rules.push_back(std::move(last));
   return out;
@@ -177,9 +179,10 @@
   if (const auto s = first_shadowed(customer, work)) {
     const std::string by = s->by < 0 ? "earlier rules together"
                                      : "the earlier rule " + customer.rules[static_cast<size_t>(s->by)].id;
-    throw Fault(kShadowed,
-                where + ".access.rules." + std::to_string(s->rule) + " (" + customer.rules[s->rule].id + ")",
-                "is reached by no message: " + by + " of " + customer.name + " decides all that it matches");
+    throw OperatorError(
+        kShadowed,
+        where + ".access.rules." + std::to_string(s->rule) + " (" + customer.rules[s->rule].id + ")",
+        "is reached by no message: " + by + " of " + customer.name + " decides all that it matches");
   }
 }
 
@@ -204,14 +207,14 @@
     if (!realm.is_object() || !realm.contains("access")) continue;
     const std::string name = name_of(realm);
     if (name.empty() || named[name] > 1) {
-      throw Fault(kNoCustomer, where, "has rules, but no name of its own");
+      throw OperatorError(kNoCustomer, where, "has rules, but no name of its own");
     }
     out.customers.push_back(parse_customer(realm, where, known, out.count));
     check_reach(out.customers.back(), where, work);
   }
   const bool placed = out.zone >= 0 && static_cast<size_t>(out.zone) < out.names.zones.size();
   if (!out.empty() && !placed)
-    throw Fault(kNoRegion, "settings.zone", "is no region, and customers have rules");
+    throw OperatorError(kNoRegion, "settings.zone", "is no region, and customers have rules");
   return out;
 }
 
--- a/access/rules.h
+++ b/access/rules.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "../include/umberhoist/fault.h"
+#include "../include/umberhoist/operator_error.h"
 #include "bits.h"
 
 namespace umberhoist::access {
@@ -22,31 +22,31 @@
 constexpr size_t kMostId = 64;                      // bytes
 inline constexpr const char* kDefault = "default";  // the id under which a customer's default counts
 
-inline constexpr FaultKind kMalformed{"rules_malformed", "write it as docs/access.md shows"};
-inline constexpr FaultKind kUnknownKey{"rules_unknown_key", "remove or correct the key"};
-inline constexpr FaultKind kUnknownSay{"rules_unknown_say", "say allow, deny, prefer or limit"};
-inline constexpr FaultKind kUnknownName{
+inline constexpr ErrorKind kMalformed{"rules_malformed", "write it as docs/access.md shows"};
+inline constexpr ErrorKind kUnknownKey{"rules_unknown_key", "remove or correct the key"};
+inline constexpr ErrorKind kUnknownSay{"rules_unknown_say", "say allow, deny, prefer or limit"};
+inline constexpr ErrorKind kUnknownName{
     "rules_unknown_name",
     "use a name of settings.categories, settings.kinds or settings.azs, or add it there first"};
-inline constexpr FaultKind kBadPartner{"rules_bad_partner", "partners are destinations' numbers, 0 or above"};
-inline constexpr FaultKind kBadId{"rules_bad_id",
+inline constexpr ErrorKind kBadPartner{"rules_bad_partner", "partners are destinations' numbers, 0 or above"};
+inline constexpr ErrorKind kBadId{"rules_bad_id",
                                   "give each rule an id of 1 to 64 printable bytes without spaces, quotes or "
                                   "backslashes, and not 'default'"};
-inline constexpr FaultKind kIdTwice{"rules_id_twice", "give each rule of a customer an id of its own"};
-inline constexpr FaultKind kBadRate{"rules_bad_rate",
+inline constexpr ErrorKind kIdTwice{"rules_id_twice", "give each rule of a customer an id of its own"};
+inline constexpr ErrorKind kBadRate{"rules_bad_rate",
                                     "give a limit, and only a limit, per_s above 0 and at most 1000000000"};
-inline constexpr FaultKind kShadowed{
+inline constexpr ErrorKind kShadowed{
     "rules_shadowed", "move it before the rules that cover it, make those narrower, or remove it"};
-inline constexpr FaultKind kTooMany{"rules_too_many",
+inline constexpr ErrorKind kTooMany{"rules_too_many",
                                     "join rules: lists of classes, partners, kinds and regions are one rule"};
-inline constexpr FaultKind kNoCustomer{"rules_no_customer", "give the realm a name that no other has"};
-inline constexpr FaultKind kNoRegion{"rules_no_region", "set settings.zone to one of settings.azs"};
-inline constexpr FaultKind kNamesMoved{
+inline constexpr ErrorKind kNoCustomer{"rules_no_customer", "give the realm a name that no other has"};
+inline constexpr ErrorKind kNoRegion{"rules_no_region", "set settings.zone to one of settings.azs"};
+inline constexpr ErrorKind kNamesMoved{
     "rules_names_moved",
     "only append to settings.azs and settings.kinds while rules hold messages, or start the relay again"};
-inline constexpr FaultKind kHitsNewer{"access_hits_newer",
+inline constexpr ErrorKind kHitsNewer{"access_hits_newer",
                                       "run the program that wrote the folder, or a newer one"};
-inline constexpr FaultKind kAccessFaults[] = {
+inline constexpr ErrorKind kAccessFaults[] = {
     kMalformed, kUnknownKey, kUnknownSay, kUnknownName, kBadPartner, kBadId,      kIdTwice,
     kBadRate,   kShadowed,   kTooMany,    kNoCustomer,  kNoRegion,   kNamesMoved, kHitsNewer};
 
--- a/access/verdict.h
+++ b/access/verdict.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "firspool/ways.h"
+#include "firspool/route_table.h"
 #include "limit_numbers.h"
 
 namespace umberhoist::access {
@@ -22,15 +22,15 @@
 struct Verdict {
   std::string customer;
   std::vector<Decider> rules;  // in their order
-  firspool::Ways ways;
+  firspool::RouteTable ways;
   std::vector<std::shared_ptr<const Limit>> limits;  // that the ways name
   std::string denied_by;  // the first rule that denied a way, where all are denied; empty: some way is open
   std::string record;     // as it is written down (verdict_record.h)
 };
 
 // The permitted ways alone, as the module takes them; they keep the verdict.
-inline std::shared_ptr<const firspool::Ways> ways_of(const std::shared_ptr<const Verdict>& verdict) {
-  return verdict ? std::shared_ptr<const firspool::Ways>(verdict, &verdict->ways) : nullptr;
+inline std::shared_ptr<const firspool::RouteTable> ways_of(const std::shared_ptr<const Verdict>& verdict) {
+  return verdict ? std::shared_ptr<const firspool::RouteTable>(verdict, &verdict->ways) : nullptr;
 }
 
 }  // namespace umberhoist::access
--- a/access/verdict_record.cpp
+++ b/access/verdict_record.cpp
@@ -45,11 +45,11 @@
     limit_at[limit->number] = limits.size();
   }
   const auto kinds = static_cast<size_t>(std::max(1, v.ways.kinds));
-  for (size_t i = 0; i < v.ways.by.size(); ++i) {
-    const firspool::Way& way = v.ways.by[i];
+  for (size_t i = 0; i < v.ways.rules.size(); ++i) {
+    const firspool::RouteRule& way = v.ways.rules[i];
     if (way.allowed)
       ways.push_back({i / kinds, i % kinds, static_cast<uint64_t>(way.rank),
-                      way.limit < 0 ? 0 : limit_at.at(way.limit)});
+                      way.limit_id < 0 ? 0 : limit_at.at(way.limit_id)});
   }
   return to_cbor({kVersion, v.customer, rules, names.zones, names.kinds, limits, ways});
 }
@@ -66,7 +66,8 @@
       want(at(limit, 1).is_number());
       out->limits.push_back(limits.recorded(text_of(at(limit, 0), kMostText), limit[1].get<double>()));
     }
-    std::vector<firspool::Way> by(names.zones.size() * names.kinds.size(), firspool::Way{false, 0, -1});
+    std::vector<firspool::RouteRule> by(names.zones.size() * names.kinds.size(),
+                                        firspool::RouteRule{false, 0, -1});
     for (const json& way : whole[6]) {
       const int zone = place(whole[3], number_of(at(way, 0)), names.zones);
       const int kind = place(whole[4], number_of(at(way, 1)), names.kinds);
@@ -76,9 +77,9 @@
       by[static_cast<size_t>(zone) * names.kinds.size() + static_cast<size_t>(kind)] = {
           true, static_cast<int>(rank), limit == 0 ? -1 : out->limits[limit - 1]->number};
     }
-    out->ways.by = std::move(by);
+    out->ways.rules = std::move(by);
   } catch (const Bad&) {
-    out->ways.by.clear();  // nothing is allowed
+    out->ways.rules.clear();  // nothing is allowed
   }
   return out;
 }
--- a/feeds/cursor.cpp
+++ b/feeds/cursor.cpp
@@ -112,9 +112,9 @@
     const json said = fleet::from_cbor(body);
     const uint64_t format = fleet::number_of(fleet::at(said, 0));
     if (format > kCursorFormat) {
-      throw Fault(kNewerBuild, where(feed),
-                  "has format " + std::to_string(format) + ", this program reads up to " +
-                      std::to_string(kCursorFormat));
+      throw OperatorError(kNewerBuild, where(feed),
+                          "has format " + std::to_string(format) + ", this program reads up to " +
+                              std::to_string(kCursorFormat));
     }
     want(said.size() == 6);
     Cursor out;
@@ -122,11 +122,12 @@
     out.feed = {fleet::text_of(said[2], 128), fleet::text_of(said[3], 128)};
     out.generation = fleet::number_of(said[4]);
     out.taken = positions_in(said[5]);
-    if (out.cluster != cluster) throw Fault(kOtherCluster, where(feed), "is of the cluster " + out.cluster);
-    if (out.feed != feed) throw Fault(kOtherFeed, where(feed), "is of " + text_of(out.feed));
+    if (out.cluster != cluster)
+      throw OperatorError(kOtherCluster, where(feed), "is of the cluster " + out.cluster);
+    if (out.feed != feed) throw OperatorError(kOtherFeed, where(feed), "is of " + text_of(out.feed));
     return out;
   } catch (const Bad&) {
-    throw Fault(kMalformed, where(feed), "does not read");
+    throw OperatorError(kMalformed, where(feed), "does not read");
   }
 }
 
--- a/feeds/cursor.h
+++ b/feeds/cursor.h
@@ -16,20 +16,20 @@
 #include <string>
 #include <string_view>
 
-#include "../include/umberhoist/fault.h"
+#include "../include/umberhoist/operator_error.h"
 
 namespace umberhoist::feeds {
 
-inline constexpr FaultKind kCursorFaults[] = {
+inline constexpr ErrorKind kCursorFaults[] = {
     {"cursor_malformed", "show the text exactly as a batch gave it, or open without a cursor"},
     {"cursor_of_newer_build", "ask a relay of the newer program, or finish the upgrade first"},
     {"cursor_of_other_cluster", "show it to the fleet that gave it, or open without a cursor"},
     {"cursor_of_other_feed", "show it for the customer and subscription it was given for"},
 };
-inline const FaultKind& kMalformed = kCursorFaults[0];
-inline const FaultKind& kNewerBuild = kCursorFaults[1];
-inline const FaultKind& kOtherCluster = kCursorFaults[2];
-inline const FaultKind& kOtherFeed = kCursorFaults[3];
+inline const ErrorKind& kMalformed = kCursorFaults[0];
+inline const ErrorKind& kNewerBuild = kCursorFaults[1];
+inline const ErrorKind& kOtherCluster = kCursorFaults[2];
+inline const ErrorKind& kOtherFeed = kCursorFaults[3];
 
 constexpr size_t kMostOrigins = 512;
 constexpr size_t kMostName = 64;
--- a/feeds/service.cpp
+++ b/feeds/service.cpp
@@ -14,7 +14,9 @@
   return out;
 }
 
-Fault fenced(const Feed& feed) { return Fault(kFenced, text_of(feed), "was opened anew since"); }
+OperatorError fenced(const Feed& feed) {
+  return OperatorError(kFenced, text_of(feed), "was opened anew since");
+}
 
 }  // namespace
 
@@ -44,7 +46,7 @@
   advance(now);
 }
 
-void Service::fail(const Answer& answer, const Fault& fault) {
+void Service::fail(const Answer& answer, const OperatorError& fault) {
   ++figures_.refused;
   answer(fault);
 }
@@ -55,11 +57,11 @@
   uint64_t generation = 0;
   try {
     if (!settings_.feeds.contains(feed)) {
-      throw Fault(kUnknownFeed, text_of(feed), "is no subscription of the policy");
+      throw OperatorError(kUnknownFeed, text_of(feed), "is no subscription of the policy");
     }
     if (shown) generation = read_cursor(*shown, settings_.cluster, feed).generation;
     make_room(now);
-  } catch (const Fault& fault) {
+  } catch (const OperatorError& fault) {
     return fail(answer, fault);
   }
   const uint64_t number = chance_();
@@ -77,17 +79,19 @@
   std::erase_if(sessions_,
                 [&](const auto& entry) { return !entry.second.answer && now - entry.second.used > kIdle; });
   if (sessions_.size() < kMostSessions) return;
-  throw Fault(kBusy, "relay " + settings_.name, "serves " + std::to_string(sessions_.size()) + " sessions");
+  throw OperatorError(kBusy, "relay " + settings_.name,
+                      "serves " + std::to_string(sessions_.size()) + " sessions");
 }
 
 Service::Serving* Service::find(const std::string& session) {
   const auto it = std::ranges::find_if(sessions_, [&](const auto& s) { return hex(s.first) == session; });
   if (it == sessions_.end() || !it->second.session.was_open()) {
-    throw Fault(kUnknownSession, "session " + session.substr(0, 16), "is not open at " + settings_.name);
+    throw OperatorError(kUnknownSession, "session " + session.substr(0, 16),
+                        "is not open at " + settings_.name);
   }
   if (!settings_.feeds.contains(it->second.session.feed())) {
-    throw Fault(kUnknownFeed, text_of(it->second.session.feed()),
-                "is no subscription of the policy any more");
+    throw OperatorError(kUnknownFeed, text_of(it->second.session.feed()),
+                        "is no subscription of the policy any more");
   }
   return &it->second;
 }
@@ -98,11 +102,11 @@
     const Feed& feed = serving.session.feed();
     const Positions taken = read_cursor(cursor, settings_.cluster, feed).taken;
     if (serving.session.state() == Session::State::kFenced) throw fenced(feed);
-    if (serving.answer) throw Fault(kBusy, text_of(feed), "has an acknowledgement under way");
+    if (serving.answer) throw OperatorError(kBusy, text_of(feed), "has an acknowledgement under way");
     for (const auto& [origin, number] : taken) {
       const bool gone = std::ranges::find(serving.gone, origin) != serving.gone.end();
       if (!gone && number > taken_of(serving.given, origin)) {
-        throw Fault(kAhead, text_of(feed), "was given less of " + text_of(origin));
+        throw OperatorError(kAhead, text_of(feed), "was given less of " + text_of(origin));
       }
     }
     std::vector<Origin> dropped;
@@ -112,7 +116,7 @@
     serving.session.ack(now, taken);
     serving.answer = std::move(answer);
     serving.used = now;
-  } catch (const Fault& fault) {
+  } catch (const OperatorError& fault) {
     return fail(answer, fault);
   }
   advance(now);
@@ -225,7 +229,7 @@
   const Feed& feed = session.feed();
   if (session.state() == State::kFenced) return fail(answer, fenced(feed));
   if (session.state() == State::kNoMajority) {
-    return fail(answer, Fault(kNoMajority, text_of(feed), "is not remembered: " + session.why()));
+    return fail(answer, OperatorError(kNoMajority, text_of(feed), "is not remembered: " + session.why()));
   }
   if (!serving.holdings) {
     ++figures_.acknowledged;
--- a/feeds/service.h
+++ b/feeds/service.h
@@ -19,7 +19,7 @@
 
 namespace umberhoist::feeds {
 
-inline constexpr FaultKind kFeedFaults[] = {
+inline constexpr ErrorKind kFeedFaults[] = {
     {"feed_unknown",
      "name a subscription of the policy (settings.realms[].feeds), or add it by policy propose"},
     {"session_unknown", "open the subscription anew with the cursor that is kept: FEED.OPEN"},
@@ -28,12 +28,12 @@
     {"acknowledged_ahead", "acknowledge cursors of batches of this session only"},
     {"feed_busy", "ask again in a second, or at another relay"},
 };
-inline const FaultKind& kUnknownFeed = kFeedFaults[0];
-inline const FaultKind& kUnknownSession = kFeedFaults[1];
-inline const FaultKind& kFenced = kFeedFaults[2];
-inline const FaultKind& kNoMajority = kFeedFaults[3];
-inline const FaultKind& kAhead = kFeedFaults[4];
-inline const FaultKind& kBusy = kFeedFaults[5];
+inline const ErrorKind& kUnknownFeed = kFeedFaults[0];
+inline const ErrorKind& kUnknownSession = kFeedFaults[1];
+inline const ErrorKind& kFenced = kFeedFaults[2];
+inline const ErrorKind& kNoMajority = kFeedFaults[3];
+inline const ErrorKind& kAhead = kFeedFaults[4];
+inline const ErrorKind& kBusy = kFeedFaults[5];
 
 constexpr size_t kMostSessions = 256;
 constexpr size_t kMostWaiting = 128;
@@ -41,7 +41,7 @@
 
 class Service {
  public:
-  using Reply = std::variant<nlohmann::json, Fault>;
+  using Reply = std::variant<nlohmann::json, OperatorError>;
   using Answer = std::function<void(const Reply& reply)>;
   using Output = Register::Output;
 
@@ -122,7 +122,7 @@
   void say_gaps(nlohmann::json& out, const Start& start, std::vector<Origin>* gone);
   nlohmann::json missing_json(Time now, const std::vector<Missing>& missing) const;
   std::string cursor_text(const Feed& feed, uint64_t generation, Positions taken) const;
-  void fail(const Answer& answer, const Fault& fault);
+  void fail(const Answer& answer, const OperatorError& fault);
 
   Settings settings_;
   std::function<std::vector<const OutcomeLog*>()> logs_;
--- a/feeds/service_reads.cpp
+++ b/feeds/service_reads.cpp
@@ -27,8 +27,8 @@
     const Feed& feed = serving.session.feed();
     Positions taken = read_cursor(cursor, settings_.cluster, feed).taken;
     if (waiting_.size() + reads_.size() >= kMostWaiting) {
-      throw Fault(kBusy, "relay " + settings_.name,
-                  "has " + std::to_string(kMostWaiting) + " reads under way");
+      throw OperatorError(kBusy, "relay " + settings_.name,
+                          "has " + std::to_string(kMostWaiting) + " reads under way");
     }
     serving.used = now;
     const Ballot& ballot = serving.session.ballot();
@@ -39,7 +39,7 @@
                         std::clamp<size_t>(most, 1, settings_.batch),
                         std::move(answer),
                         {}});
-  } catch (const Fault& fault) {
+  } catch (const OperatorError& fault) {
     return fail(answer, fault);
   }
   advance(now);
@@ -148,7 +148,7 @@
 }
 
 void Service::close() {
-  const Fault over(kUnknownSession, "relay " + settings_.name, "ends its sessions");
+  const OperatorError over(kUnknownSession, "relay " + settings_.name, "ends its sessions");
   for (auto& [number, serving] : std::exchange(sessions_, {})) {
     if (serving.answer) serving.answer(over);
   }
--- a/include/firspool/actions.h
+++ b/include/firspool/actions.h
@@ -1,4 +1,4 @@
-// Actions: what the caller of Policy::step carries out.
+// Actions: what Policy::step asks its caller to carry out.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,31 @@
 
 namespace firspool {
 
-struct Send {  // answered by one AttemptEnded, kTimeout at the latest after `timeout`
+// Starts an attempt. The caller answers with exactly one AttemptEnded, at the latest with kTimeout after
+// `timeout`.
+struct Send {
   uint64_t id = 0;
   Endpoint endpoint;
   Time timeout = 0;
-  Time start_by = std::numeric_limits<Time>::max();  // no byte of it may be written later
+  Time start_by = std::numeric_limits<Time>::max();  // the first byte must be written by then, or none at all
 };
 
-enum class Reason {  // why no attempt is made any more
-  kTime,             // none could be answered in time
-  kAttempts,         // they are used up, or what it does allows no other
-  kQueue,            // more goes before it than can go in its time
-  kPlaces,           // too many messages are held
-  kRoom              // the caller cannot keep it
+// Why a message is refused. The outer names in the metrics are: time, attempts, queue, places, disk.
+enum class Reason {
+  kDeadline,         // no attempt could be answered before the message's deadline
+  kNoAttemptsLeft,   // max_attempts is reached, or the message's effect allows no repeat
+  kQueueTooLong,     // the messages ahead of it take longer than it has left
+  kTooManyMessages,  // max_open is reached
+  kStorageFull       // the caller cannot store it
 };
 
-struct Refuse {  // ends the message; a retry by the client is harmless
+struct Refuse {  // ends the message; the client may safely retry it
   uint64_t id = 0;
   Time retry_after = 0;
-  Reason reason = Reason::kTime;
+  Reason reason = Reason::kDeadline;
 };
 
-struct Fail {  // ends the message; nothing is promised
+struct Fail {  // ends the message without a guarantee: it may or may not have been executed
   uint64_t id = 0;
 };
 
@@ -40,22 +43,22 @@
   int attempt = 0;
 };
 
-struct Probe {  // answered by one ProbeEnded
+struct Probe {  // the caller answers with exactly one ProbeEnded
   Endpoint endpoint;
 };
 
-struct CloseIdle {
+struct CloseIdle {  // closes an idle connection to the endpoint
   Endpoint endpoint;
 };
 
-struct SetTimer {
+struct SetTimer {  // the caller answers with one TimerFired of this token at time `at`
   uint64_t token = 0;
   Time at = 0;
 };
 
-struct WatchList {};
+struct WatchList {};  // subscribes to the list of endpoints
 
-struct TellPeers {
+struct BroadcastToPeers {
   std::string bytes;
 };
 
@@ -63,15 +66,15 @@
   std::string text;
 };
 
-struct Remember {  // the newest word on a destination
-  DestinationMemory memory;
+struct SaveSnapshot {  // replaces the stored snapshot of the destination
+  DestinationSnapshot snapshot;
 };
 
-struct Avoided {  // so many listed endpoints are passed over now: draining, failing, or in an outage
-  size_t endpoints = 0;
+struct EndpointsAvoided {  // how many listed endpoints get no calls now: draining, failing, or in an outage
+  size_t count = 0;
 };
 
-using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, SetTimer, WatchList, TellPeers, Log,
-                            Remember, Avoided>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, SetTimer, WatchList,
+                            BroadcastToPeers, Log, SaveSnapshot, EndpointsAvoided>;
 
 }  // namespace firspool
--- a/include/firspool/attempt_end.h
+++ b/include/firspool/attempt_end.h
@@ -1,32 +1,33 @@
-// What the end of an attempt says of the message having run. The module and its caller ask this one table.
+// Whether an attempt with a given outcome may have executed its message. Both the module and its caller use
+// this table.
 #pragma once
 
 #include "firspool/events.h"
 
 namespace firspool {
 
-enum class Ran {
-  kNever,  // proven: the endpoint did not begin it, and a repeat is the first run
-  kMaybe,  // it may have run, or may yet
-  kDone    // it has
+enum class Execution {
+  kNever,  // certain: the endpoint did not begin it, so a repeat is the first execution
+  kMaybe,  // it may have been executed, or may still be
+  kDone    // it was executed
 };
 
-constexpr Ran ran_after(Outcome outcome) {
+constexpr Execution execution_after(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk:
-      return Ran::kDone;
-    case Outcome::kFull:           // turned away
+      return Execution::kDone;
+    case Outcome::kFull:           // the endpoint rejected it
     case Outcome::kConnectFailed:  // its last byte was not written
-    case Outcome::kMoot:           // not sent, by what passes it on
-    case Outcome::kUnsent:         // nor by us
-      return Ran::kNever;
+    case Outcome::kNotForwarded:   // the intermediary did not pass it on
+    case Outcome::kNotSent:        // the caller did not send it
+      return Execution::kNever;
     case Outcome::kError:
     case Outcome::kTimeout:
     case Outcome::kReset:
     case Outcome::kCancelled:
-      return Ran::kMaybe;
+      return Execution::kMaybe;
   }
-  return Ran::kMaybe;
+  return Execution::kMaybe;
 }
 
 }  // namespace firspool
--- a/include/firspool/events.h
+++ b/include/firspool/events.h
@@ -1,4 +1,4 @@
-// Events: what happened, as the caller tells it to Policy::step.
+// Events: what happened since the last step, as the caller passes it to Policy::step.
 #pragma once
 
 #include <compare>
@@ -8,12 +8,12 @@
 #include <variant>
 #include <vector>
 
+#include "firspool/route_table.h"
 #include "firspool/settings.h"
-#include "firspool/ways.h"
 
 namespace firspool {
 
-struct Endpoint {  // one address of a destination; returned as it was given
+struct Endpoint {  // one address of a destination; opaque to the module, which returns it unchanged
   uint32_t address = 0;
   uint16_t port = 0;
   auto operator<=>(const Endpoint&) const = default;
@@ -36,24 +36,24 @@
   std::shared_ptr<const std::vector<Member>> members;  // may be null when the form is kFailed
 };
 
-struct Arrival {
+struct MessageReceived {
   uint64_t id = 0;
   int message_class = 0;
   int tenant = 0;
-  uint64_t key = 0;  // for classes in order: what the message is about; 0: nothing
+  uint64_t key = 0;  // of a class in order: messages with the same key go one at a time; 0: no key
   Time due = 0;
   int destination = 0;
-  std::shared_ptr<const MessageRules> rules;  // null: those of message_class in the settings as they are now
-  // Of a message that is resumed after a restart: what became of it before. Attempts are counted on.
+  std::shared_ptr<const MessageRules> rules;  // null: the current settings of message_class
+  // The history of a message that is resumed after a restart. Its attempts are counted on from `attempts`.
   bool resumed = false;
   int attempts = 0;
-  bool ran = false;   // an attempt may have run
-  Time ran_sent = 0;  // when the first such attempt was sent
-  int ran_zone = 0;
-  bool pause = false;  // its last attempt may have ended just now: a repeat waits, as it would have there
-  std::shared_ptr<const Ways> ways;  // null: by all ways
-  bool room = true;                  // the caller can keep it; else it is refused
-  bool keeps_turn = false;           // given up, it keeps its turn until Withdrawn: it is not over before
+  bool maybe_executed = false;      // an attempt may have executed it
+  Time maybe_executed_sent_at = 0;  // when the first such attempt was sent
+  int maybe_executed_zone = 0;
+  bool needs_backoff = false;  // its last attempt may have ended just now, so a repeat backs off first
+  std::shared_ptr<const RouteTable> routes;  // null: all routes are allowed
+  bool storage_available = true;             // false: the caller cannot store it, and it is refused
+  bool holds_order = false;  // after it is refused or failed, it blocks its key until MessageReleased
 };
 
 enum class Outcome {
@@ -64,8 +64,8 @@
   kConnectFailed,
   kReset,
   kCancelled,
-  kMoot,   // not sent, by what passes calls on: it counts as an attempt
-  kUnsent  // not sent, for a reason of the caller's own: it counts for nothing, and its number is used again
+  kNotForwarded,  // an intermediary did not pass the call on; counts as an attempt
+  kNotSent        // the caller itself could not send it; not counted, and its attempt number is used again
 };
 
 struct AttemptEnded {
@@ -75,8 +75,8 @@
   Outcome outcome = Outcome::kError;
   bool final = false;  // the message is finished
   Time took = 0;
-  Time wait = 0;  // with kFull: the wait that was told, 0 if none
-  std::vector<float> report;
+  Time retry_after = 0;       // with kFull: the wait that the endpoint asked for; 0: none
+  std::vector<float> report;  // load report of the endpoint, indexed as Settings::report_* say
 };
 
 struct ProbeEnded {
@@ -86,9 +86,9 @@
   std::vector<float> report;
 };
 
-// Nothing is owed for it any more. Of a message that the module gave up on and whose Arrival asked for this
-// word, its turn among those of its key ends here.
-struct Withdrawn {
+// Nothing is pending for the message any more. If its MessageReceived set holds_order and the module has
+// refused or failed it, the next message of its key may go now.
+struct MessageReleased {
   uint64_t id = 0;
   uint64_t key = 0;
 };
@@ -97,37 +97,40 @@
   uint64_t token = 0;
 };
 
-struct PeerNote {
+struct PeerMessage {
   int from = 0;
   std::string bytes;
 };
 
-// What a fresh module would not know of a destination: it is told by Remember, and given back after a restart
-// by the caller, before any message is. Outages of routes apart are not told.
-struct DestinationMemory {
+// The learned state of a destination that outlives a restart. SaveSnapshot hands it to the caller, which
+// passes it back after a restart, before any message. Outages of independent endpoints are not included.
+struct DestinationSnapshot {
   int destination = 0;
-  int tokens = 0;       // of the retry bucket, in its parts
-  Time out_since = 0;   // 0: no outage
-  Time back_since = 0;  // 0: still out
-  double base = 0;      // own served rate before it
-  bool operator==(const DestinationMemory&) const = default;
+  int tokens = 0;            // of the retry token bucket, in fractions of a token as the module counts them
+  Time outage_since = 0;     // 0: no outage
+  Time recovered_since = 0;  // 0: still in outage
+  double served_rate = 0;    // calls of this relay served a second before the outage
+  bool operator==(const DestinationSnapshot&) const = default;
 };
 
-struct Retuned {  // the settings are these from now on; open messages keep the rules that they came under
+struct SettingsChanged {  // replaces the settings; messages already received keep the rules they arrived
+                          // under
   Settings settings;
 };
 
-struct WaitTold {  // another process of this relay was told to wait, as by AttemptEnded
+// Another process of this relay received a retry-after, which binds this process as one in AttemptEnded does.
+struct RetryAfterReceived {
   int destination = 0;
-  Endpoint endpoint;  // where routes are apart
+  Endpoint endpoint;  // only of independent endpoints, else left empty
   Time until = 0;
 };
 
-struct Closing {  // this process ends soon: a call that may not be over by then is not started
+struct ShuttingDown {  // this process ends at `at`: no call starts that may still be in flight then
   Time at = 0;
 };
 
-using Event = std::variant<MembersChanged, Arrival, AttemptEnded, ProbeEnded, Withdrawn, TimerFired, PeerNote,
-                           Closing, DestinationMemory, Retuned, WaitTold, Granted>;
+using Event = std::variant<MembersChanged, MessageReceived, AttemptEnded, ProbeEnded, MessageReleased,
+                           TimerFired, PeerMessage, ShuttingDown, DestinationSnapshot, SettingsChanged,
+                           RetryAfterReceived, ShareGranted>;
 
 }  // namespace firspool
--- a/include/firspool/policy.h
+++ b/include/firspool/policy.h
@@ -1,12 +1,12 @@
-// The interface of firspool: settings (settings.h), events in (events.h), actions out (actions.h), and the
-// class that decides.
+// The public interface of firspool: settings (settings.h), events in (events.h), actions out (actions.h), and
+// the class that decides.
 //
-// Contract of Policy::step: call it once for each batch of events, with a clock that never goes back. All
-// events of the batch are folded into the state first, then decisions are taken once. Actions are appended to
-// the vector, which belongs to the caller. Each message that arrived gets one final answer: an Outcome with
-// `final` set, a Refuse or a Fail. A Policy keeps no thread and no lock: use each object from one thread at a
-// time. Wrong use (time going back, a message id given twice, an unknown class) throws std::invalid_argument
-// and leaves the event unread.
+// Contract of Policy::step: call it once for each batch of events, with a clock that never goes backwards.
+// All events of the batch are applied to the state first, then decisions are made once. Actions are appended
+// to the vector, which the caller owns. Each received message gets exactly one final answer: an AttemptEnded
+// with `final` set, a Refuse or a Fail. A Policy has no thread and no lock: use each object from one thread
+// at a time. Misuse (time going backwards, a message id used twice, an unknown class) throws
+// std::invalid_argument and does not apply the event.
 #pragma once
 
 #include <cstdint>
--- a/relay/ask_times.cpp
+++ b/relay/ask_times.cpp
@@ -14,12 +14,13 @@
 }  // namespace
 
 AskTimes::AskTimes(const Settings& settings, uint64_t seed)
-    : random_(seed), pushed_(kLongestPause), slow_(settings.ask_for_list) {
+    : random_(seed), pushed_(kLongestPause), slow_(settings.list_on_request) {
   const milliseconds grace(settings.drain_grace / 1000);
-  if (!settings.ask_for_list && grace.count() > 0) pushed_ = std::clamp(grace / 4, kFirstPause, pushed_);
+  if (!settings.list_on_request && grace.count() > 0) pushed_ = std::clamp(grace / 4, kFirstPause, pushed_);
   if (settings.relays <= kTogether) return;
-  turn_ = std::min({settings.relays * kAskEach, milliseconds(settings.ask_every / 2000), kFirstTurn});
-  if (!settings.ask_for_list) turn_ = std::min(turn_, grace / 2);
+  turn_ =
+      std::min({settings.relays * kAskEach, milliseconds(settings.list_request_interval / 2000), kFirstTurn});
+  if (!settings.list_on_request) turn_ = std::min(turn_, grace / 2);
 }
 
 milliseconds AskTimes::first() {
--- a/relay/budget_link.cpp
+++ b/relay/budget_link.cpp
@@ -32,7 +32,7 @@
   return out;
 }
 
-void warn(const umberhoist::Fault& fault) {
+void warn(const umberhoist::OperatorError& fault) {
   log_event(LogLevel::kWarning, fault.code(), fault.line(), {{"where", fault.where()}});
 }
 
@@ -58,11 +58,12 @@
   budgets_ = *fleet.budgets;
   holder().configure(budgets_.floor, fleet.peers.size());
   divider().configure(divider_settings(fleet).names, budgets_.floor);
-  for (const TenantSettings& t : settings_.tenants) whole("tenant/" + t.name, 0, {Granted::Of::kTenant, 0});
+  for (const TenantSettings& t : settings_.tenants)
+    whole("tenant/" + t.name, 0, {ShareGranted::Scope::kTenant, 0});
   settings_ = config.settings;
   for (size_t i = 0; i < settings_.tenants.size(); ++i) {
     const TenantSettings& t = settings_.tenants[i];
-    whole("tenant/" + t.name, t.quota_per_s, {Granted::Of::kTenant, static_cast<int>(i)});
+    whole("tenant/" + t.name, t.quota_per_s, {ShareGranted::Scope::kTenant, static_cast<int>(i)});
   }
   list();
   take_limits();
@@ -85,7 +86,8 @@
   std::map<int, double> listed;
   for (const auto& [endpoint, host] : directory_.hosts()) {
     const Member& m = host.member;
-    const bool apart = m.kind < static_cast<int>(settings_.kinds.size()) && settings_.kinds[m.kind].apart;
+    const bool apart =
+        m.kind < static_cast<int>(settings_.kinds.size()) && settings_.kinds[m.kind].independent_endpoints;
     if (apart || m.listing == Listing::kGone) continue;
     double& limit = listed[m.destination];
     if (settings_.weights != Weights::kNominal || !(m.weight > 0)) continue;
@@ -93,27 +95,27 @@
   }
   std::erase_if(destinations_, [&](const auto& entry) {
     if (listed.contains(entry.first)) return false;
-    whole(dest(entry.first), 0, {Granted::Of::kDestination, entry.first});
+    whole(dest(entry.first), 0, {ShareGranted::Scope::kDestination, entry.first});
     return true;
   });
   for (const auto& [number, limit] : listed) {
     Destination& d = destinations_[number];
     if (limit > 0 && d.listed != limit) d.whole = d.listed = limit;
-    whole(dest(number), d.whole, {Granted::Of::kDestination, number});
+    whole(dest(number), d.whole, {ShareGranted::Scope::kDestination, number});
   }
 }
 
 void BudgetLink::reported(const AttemptEnded& end) {
   const ListedHost* host = directory_.find(end.endpoint);
-  const auto at = static_cast<size_t>(settings_.report_limit);
-  if (host == nullptr || settings_.report_limit < 0 || at >= end.report.size()) return;
+  const auto at = static_cast<size_t>(settings_.report_limit_index);
+  if (host == nullptr || settings_.report_limit_index < 0 || at >= end.report.size()) return;
   const double limit = static_cast<double>(end.report[at]);
   const auto d = destinations_.find(host->member.destination);
   const bool apart = host->member.kind < static_cast<int>(settings_.kinds.size()) &&
-                     settings_.kinds[host->member.kind].apart;
+                     settings_.kinds[host->member.kind].independent_endpoints;
   if (apart || d == destinations_.end() || !std::isfinite(limit) || limit <= 0) return;
   d->second.whole = limit;
-  whole(dest(d->first), limit, {Granted::Of::kDestination, d->first});
+  whole(dest(d->first), limit, {ShareGranted::Scope::kDestination, d->first});
 }
 
 // A number may be another limit's by now: what has gone is told first.
@@ -122,13 +124,13 @@
   std::map<std::string, int> now;
   for (const auto& limit : all) now[limit.budget] = limit.number;
   for (const auto& [budget, number] : std::exchange(limits_, now)) {
-    if (!now.contains(budget)) whole(budget, 0, {Granted::Of::kLimit, number});
+    if (!now.contains(budget)) whole(budget, 0, {ShareGranted::Scope::kLimit, number});
   }
   tell();
   std::unordered_map<uint64_t, double> of_policy;
   for (const auto& limit : all) {
     of_policy[fleet::budget_hash(limit.budget)] = limit.per_s;
-    whole(limit.budget, limit.per_s, {Granted::Of::kLimit, limit.number});
+    whole(limit.budget, limit.per_s, {ShareGranted::Scope::kLimit, limit.number});
   }
   divider().wholes(std::move(of_policy));
 }
@@ -138,8 +140,8 @@
 void BudgetLink::hear(const std::vector<Event>& events) {
   bool retuned = false;
   for (const Event& event : events) {
-    retuned = retuned || std::holds_alternative<Retuned>(event);
-    if (const auto* a = std::get_if<Arrival>(&event)) {
+    retuned = retuned || std::holds_alternative<SettingsChanged>(event);
+    if (const auto* a = std::get_if<MessageReceived>(&event)) {
       holder().asked(dest(a->destination), 1);
       if (a->tenant >= 0 && a->tenant < static_cast<int>(settings_.tenants.size())) {
         holder().asked("tenant/" + settings_.tenants[static_cast<size_t>(a->tenant)].name, 1);
--- a/relay/budget_link.h
+++ b/relay/budget_link.h
@@ -23,7 +23,7 @@
 #include "../fleet/budget_rider.h"
 #include "budget_faults.h"
 #include "config.h"
-#include "firspool/ways.h"
+#include "firspool/route_table.h"
 
 namespace firspool::relay {
 
@@ -32,7 +32,7 @@
   static constexpr size_t kMostSeries = 64;  // of budgets in METRICS; the rest is summed
 
   struct Host {
-    std::function<void(const Granted&)> grant;  // for the module's next step
+    std::function<void(const ShareGranted&)> grant;  // for the module's next step
     // Tells the budgets that each message wants which is held and not out.
     std::function<void(const std::function<void(const std::string& budget)>&)> waiting;
     std::function<std::vector<umberhoist::access::Limit>()> limits;  // of customers' rules, all there are
@@ -64,7 +64,7 @@
     double whole = 0;
   };
   struct Place {  // in the module's words
-    Granted::Of of;
+    ShareGranted::Scope of;
     int number;
   };
 
--- a/relay/call_moment.h
+++ b/relay/call_moment.h
@@ -24,7 +24,7 @@
 // says_200: the answer's first line is there and says 200, which is true whatever becomes of the rest.
 constexpr Outcome outcome_of(Moment moment, Break how, bool says_200) {
   if (moment == Moment::kConnecting || moment == Moment::kWriting) {
-    return how == Break::kOwnWant ? Outcome::kUnsent : Outcome::kConnectFailed;
+    return how == Break::kOwnWant ? Outcome::kNotSent : Outcome::kConnectFailed;
   }
   if (says_200) return Outcome::kOk;
   if (moment == Moment::kReadingBody || how == Break::kConnection || how == Break::kOwnWant) {
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -88,7 +88,7 @@
     out.feeds = parse_feeds(root["feeds"], settings, root.contains("fleet"), relays, out.names.zones);
   }
   if (root.contains("fleet")) {
-    out.fleet = parse_fleet(root["fleet"], out.name, out.settings.may_tell_peers);
+    out.fleet = parse_fleet(root["fleet"], out.name, out.settings.may_message_peers);
     if (const size_t longest = policy_of(out).size(); longest > most_policy(out)) {
       throw std::invalid_argument("limits.disk_mb leaves the fleet's policy " +
                                   std::to_string(most_policy(out)) + " bytes, and it has " +
@@ -134,8 +134,8 @@
 std::string describe(const Config& config) {
   const Settings& s = config.settings;
   const auto seconds = [](Time t) { return json(static_cast<double>(t) / 1e6).dump() + " s"; };
-  std::string out =
-      "relay " + config.name + ", " + std::to_string(s.self) + " of " + std::to_string(s.relays) + "\n";
+  std::string out = "relay " + config.name + ", " + std::to_string(s.relay_index) + " of " +
+                    std::to_string(s.relays) + "\n";
   const auto at = [](const tcp::endpoint& a) {
     return a.address().to_string() + ":" + std::to_string(a.port());
   };
@@ -144,18 +144,18 @@
   out += "limits: " + std::to_string(config.memory_bytes / 1'000'000) + " MB of memory, " +
          std::to_string(config.sockets) + " descriptors, " +
          json(static_cast<double>(config.disk_bytes) / 1e6).dump() + " MB on disk\n";
-  out += "holds " + std::to_string(s.max_open) + " messages, " + std::to_string(s.slots) + " calls out, " +
-         std::to_string(s.max_attempts) + " attempts for a message\n";
+  out += "holds " + std::to_string(s.max_open) + " messages, " + std::to_string(s.max_in_flight) +
+         " calls out, " + std::to_string(s.max_attempts) + " attempts for a message\n";
   static constexpr const char* kEffects[] = {"safe to repeat", "repeats dropped by key", "never repeated"};
   for (const ClassSettings& c : s.classes) {
     out += "class " + c.name + ": " + kEffects[static_cast<size_t>(c.effect)] + ", wanted within " +
-           seconds(c.target) + ", given up at " + seconds(c.give_up) + "\n";
+           seconds(c.target) + ", given up at " + seconds(c.time_to_live) + "\n";
   }
   for (const TenantSettings& t : s.tenants) out += "tenant " + t.name + "\n";
   out += umberhoist::access::describe(config.access);
   out += std::to_string(config.known.hosts.size()) + " endpoints known, revision " +
          std::to_string(config.known.revision) + "\n";
-  out += std::string("relays may ") + (s.may_tell_peers ? "" : "not ") + "talk to each other, and may " +
+  out += std::string("relays may ") + (s.may_message_peers ? "" : "not ") + "talk to each other, and may " +
          (s.may_probe ? "" : "not ") + "probe\n";
   if (config.fleet) {
     const auto voters = std::count_if(config.fleet->peers.begin(), config.fleet->peers.end(),
--- a/relay/custody.cpp
+++ b/relay/custody.cpp
@@ -57,7 +57,7 @@
 
 void Custody::grant() {
   if (relays_ == 0) return;
-  for (const Granted& part : customers_.even_parts(relays_)) happened_(part);
+  for (const ShareGranted& part : customers_.even_parts(relays_)) happened_(part);
 }
 
 // Sites without tenants name none.
@@ -84,16 +84,16 @@
     return "-DENIED " + handed.verdict->denied_by;
   }
   const uint64_t number = ++last_number_;
-  Arrival in;
+  MessageReceived in;
   in.id = number;
   in.rules = handed.rules = rules->second;
   in.tenant = tenant;
   in.key = handed.sequence_key;
-  in.keeps_turn = true;
+  in.holds_order = true;
   in.due = handed.budget.due();
   in.destination = handed.destination;
-  in.ways = umberhoist::access::ways_of(handed.verdict);
-  in.room = journal_.has_room(handed);
+  in.routes = umberhoist::access::ways_of(handed.verdict);
+  in.storage_available = journal_.has_room(handed);
   numbers_[handed.id] = number;
   held_[number] = {std::move(handed), 0, false, false, Stage::kQueue, steady_now()};
   happened_(in);
@@ -113,14 +113,14 @@
     figures_.failed(handed.message_class);
   } else if (shut || !journal_.accepted(handed)) {
     line = "-BUSY";  // it could not be written, though there seemed to be room
-    figures_.refused(handed.message_class, Figures::Place::kDoor, Reason::kRoom);
-    happened_(Withdrawn{number});
+    figures_.refused(handed.message_class, Figures::Place::kDoor, Reason::kStorageFull);
+    happened_(MessageReleased{number});
   }
   if (line == "+OK") {
     held->second.taken = true;
     figures_.taken();
   } else {
-    if (away != nullptr && handed.sequence_key != 0) happened_(Withdrawn{number, handed.sequence_key});
+    if (away != nullptr && handed.sequence_key != 0) happened_(MessageReleased{number, handed.sequence_key});
     numbers_.erase(handed.id);
     held_.erase(held);
   }
--- a/relay/custody.h
+++ b/relay/custody.h
@@ -65,7 +65,7 @@
 
   // The message is over; with a notice, that is still owed. Neither served nor noticed: a host said it is
   // over.
-  void finish(uint64_t number, std::optional<Notice> notice, Reason reason = Reason::kTime,
+  void finish(uint64_t number, std::optional<Notice> notice, Reason reason = Reason::kDeadline,
               bool served = false);
   // It is another process's now, or never was taken on.
   void forget(uint64_t number);
@@ -106,7 +106,7 @@
   uint64_t last_number_ = 0;
   std::unordered_map<uint64_t, Held> held_;
   std::unordered_map<std::string, uint64_t> numbers_;
-  std::unordered_map<std::string, Withdrawn> ending_;  // those of a sequence whose notices are owed
+  std::unordered_map<std::string, MessageReleased> ending_;  // those of a sequence whose notices are owed
 };
 
 }  // namespace firspool::relay
--- a/relay/custody_resume.cpp
+++ b/relay/custody_resume.cpp
@@ -20,7 +20,7 @@
     held.taken = true;
     held.stage = entry.attempts > 0 ? Stage::kWait : Stage::kQueue;
     numbers_[entry.message.id] = number;
-    Arrival in;
+    MessageReceived in;
     in.id = number;
     in.rules = entry.message.rules;
     if (const auto known = rules_.find(entry.message.message_class); !in.rules && known != rules_.end()) {
@@ -32,18 +32,18 @@
     }
     in.tenant = tenant_of(entry.message.tenant);  // -1: it left the settings, and spends no other's quota
     in.key = held.handed.sequence_key;
-    in.keeps_turn = true;
+    in.holds_order = true;
     in.due = held.handed.budget.due();
     in.destination = entry.message.destination;
-    in.ways = umberhoist::access::ways_of(held.handed.verdict);
+    in.routes = umberhoist::access::ways_of(held.handed.verdict);
     in.resumed = true;
     in.attempts = entry.attempts;
-    in.pause = pause;
+    in.needs_backoff = pause;
     if (!entry.unsettled.empty()) {
       const auto& [sent, zone] = entry.unsettled.begin()->second;
-      in.ran = true;
-      in.ran_sent = sent;
-      in.ran_zone = zone;
+      in.maybe_executed = true;
+      in.maybe_executed_sent_at = sent;
+      in.maybe_executed_zone = zone;
     }
     happened_(in);
   }
--- a/relay/customer_rules.cpp
+++ b/relay/customer_rules.cpp
@@ -26,15 +26,15 @@
   return bytes.empty() ? nullptr : access::unpacked(bytes, names_, limits_);
 }
 
-std::vector<Granted> CustomerRules::even_parts(int relays) {
-  std::vector<Granted> out;
+std::vector<ShareGranted> CustomerRules::even_parts(int relays) {
+  std::vector<ShareGranted> out;
   std::map<int, double> now;
   for (const access::Limit& limit : limits()) {
     const double part = limit.per_s / std::max(1, relays);
     now[limit.number] = part;
     const auto told = told_.find(limit.number);
     if (told != told_.end() && told->second == part) continue;
-    out.push_back({Granted::Of::kLimit, limit.number, part});
+    out.push_back({ShareGranted::Scope::kLimit, limit.number, part});
   }
   told_ = std::move(now);
   return out;
--- a/relay/customer_rules.h
+++ b/relay/customer_rules.h
@@ -33,7 +33,7 @@
   // module each part.
   std::vector<umberhoist::access::Limit> limits() const { return limits_.held(); }
   // Where nobody does: even parts for so many relays, as far as they are not what was answered last.
-  std::vector<Granted> even_parts(int relays);
+  std::vector<ShareGranted> even_parts(int relays);
 
  private:
   umberhoist::access::Limits limits_;
--- a/relay/descriptors.cpp
+++ b/relay/descriptors.cpp
@@ -18,8 +18,8 @@
 size_t most_clients(const Config& config) {
   const size_t own = kOwnDescriptors + (config.operator_address ? Operator::kDescriptors : 0) +
                      (config.fleet ? FleetWire::descriptors(*config.fleet) : 0);
-  const size_t others =
-      (config.inherited ? 2 * own : own) + static_cast<size_t>(config.settings.slots) + most_idle(config);
+  const size_t others = (config.inherited ? 2 * own : own) +
+                        static_cast<size_t>(config.settings.max_in_flight) + most_idle(config);
   return std::max(config.sockets / 3, config.sockets - std::min(others, config.sockets));
 }
 
--- a/relay/disk_faults.h
+++ b/relay/disk_faults.h
@@ -7,17 +7,17 @@
 
 namespace firspool::relay {
 
-inline constexpr umberhoist::FaultKind kFileUnreadable{"file_unreadable",
+inline constexpr umberhoist::ErrorKind kFileUnreadable{"file_unreadable",
                                                        "check the disk, its mount and the file's rights"};
-inline constexpr umberhoist::FaultKind kFileUnwritable{"file_unwritable",
+inline constexpr umberhoist::ErrorKind kFileUnwritable{"file_unwritable",
                                                        "make room, check the disk and the folder's rights"};
 
-inline constexpr umberhoist::FaultKind kDiskFaults[] = {kFileUnreadable, kFileUnwritable};
+inline constexpr umberhoist::ErrorKind kDiskFaults[] = {kFileUnreadable, kFileUnwritable};
 
 class DiskFault : public SystemFault {
  public:
   // `error`: the errno that the failed call left.
-  DiskFault(const umberhoist::FaultKind& kind, const std::filesystem::path& file, const std::string& what,
+  DiskFault(const umberhoist::ErrorKind& kind, const std::filesystem::path& file, const std::string& what,
             int error)
       : SystemFault(kind, file.string(), what, error) {}
 };
--- a/relay/exchange.cpp
+++ b/relay/exchange.cpp
@@ -80,7 +80,7 @@
 
 // That too little time is left for a connect says nothing of the host.
 void Upstream::Exchange::overdue() {
-  if (moment_ == Moment::kConnecting && short_) return finish(Outcome::kUnsent);
+  if (moment_ == Moment::kConnecting && short_) return finish(Outcome::kNotSent);
   broke(Break::kTimeout);
 }
 
@@ -103,7 +103,7 @@
 
 void Upstream::Exchange::write() {
   // The connection took its time: what was told meanwhile counts.
-  if (!probe_ && !owner_->may_start_(call_)) return finish(Outcome::kUnsent, Then::kKeep);
+  if (!probe_ && !owner_->may_start_(call_)) return finish(Outcome::kNotSent, Then::kKeep);
   moment_ = Moment::kWriting;
   request_ = request_text();
   std::string().swap(call_.body);
@@ -170,14 +170,14 @@
       return finish(Outcome::kOk, then);
     case 410:
       end_.final = true;
-      return finish(Outcome::kMoot, then);
+      return finish(Outcome::kNotForwarded, then);
     case 429:
-      end_.wait = static_cast<Time>(std::ceil(decimal(view(answer[http::field::retry_after])) * 1e6));
+      end_.retry_after = static_cast<Time>(std::ceil(decimal(view(answer[http::field::retry_after])) * 1e6));
       return finish(Outcome::kFull, then);
     case 503:
-      return finish(view(answer["X-Egress-Full"]) == "1" ? Outcome::kMoot : Outcome::kFull, then);
+      return finish(view(answer["X-Egress-Full"]) == "1" ? Outcome::kNotForwarded : Outcome::kFull, then);
     case 504:
-      return finish(Outcome::kMoot, then);
+      return finish(Outcome::kNotForwarded, then);
     default:
       return finish(Outcome::kError, then);
   }
--- a/relay/feed_link.cpp
+++ b/relay/feed_link.cpp
@@ -27,8 +27,9 @@
 }  // namespace
 
 std::string feed_line(const feeds::Service::Reply& reply) {
-  if (const auto* fault = std::get_if<umberhoist::Fault>(&reply)) {
-    return one_line(std::string("-FEED ") + fault->code() + " " + fault->where() + " " + fault->happened());
+  if (const auto* fault = std::get_if<umberhoist::OperatorError>(&reply)) {
+    return one_line(std::string("-FEED ") + fault->code() + " " + fault->where() + " " +
+                    fault->description());
   }
   const auto& json = std::get<nlohmann::json>(reply);
   if (json.is_string()) return "+" + json.get<std::string>();
@@ -162,8 +163,8 @@
         "a cursor and perhaps a count, FEED.ACK a session and a cursor");
   }
   if (!service_) {
-    return done(
-        umberhoist::Fault(feeds::kBusy, "relay " + config_.name, "cannot write its records of feeds"));
+    return done(umberhoist::OperatorError(feeds::kBusy, "relay " + config_.name,
+                                          "cannot write its records of feeds"));
   }
   const Time now = steady_now();
   if (opens) {
--- a/relay/feed_settings.cpp
+++ b/relay/feed_settings.cpp
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 [[noreturn]] void bad(const std::string& key, const std::string& why) {
-  throw umberhoist::Fault(kFeedSettingsFaults[0], key, why);
+  throw umberhoist::OperatorError(kFeedSettingsFaults[0], key, why);
 }
 
 double number(const json& section, const char* key, double usual, double least, double most) {
--- a/relay/feed_settings.h
+++ b/relay/feed_settings.h
@@ -12,7 +12,7 @@
 
 namespace firspool::relay {
 
-inline constexpr umberhoist::FaultKind kFeedSettingsFaults[] = {
+inline constexpr umberhoist::ErrorKind kFeedSettingsFaults[] = {
     {"feeds_config", "mend the key that is named; nothing of the file or policy was taken"},
 };
 
--- a/relay/fleet_settings.cpp
+++ b/relay/fleet_settings.cpp
@@ -43,17 +43,18 @@
 double budget_number(const json& from, const std::string& key, double most) {
   const json value = from.value(key, json());
   if (!value.is_number() || !(value.get<double>() > 0 && value.get<double>() <= most)) {
-    throw umberhoist::Fault(kBudgetSettings, "fleet.budgets." + key,
-                            "is not a number above 0 and at most " + json(most).dump());
+    throw umberhoist::OperatorError(kBudgetSettings, "fleet.budgets." + key,
+                                    "is not a number above 0 and at most " + json(most).dump());
   }
   return value.get<double>();
 }
 
 FleetSettings::Budgets parse_budgets(const json& from) {
-  if (!from.is_object()) throw umberhoist::Fault(kBudgetSettings, "fleet.budgets", "is not an object");
+  if (!from.is_object())
+    throw umberhoist::OperatorError(kBudgetSettings, "fleet.budgets", "is not an object");
   for (const auto& [key, value] : from.items()) {
     if (key == "floor" || key == "burst_ms") continue;
-    throw umberhoist::Fault(kBudgetSettings, "fleet.budgets." + key, "is not known");
+    throw umberhoist::OperatorError(kBudgetSettings, "fleet.budgets." + key, "is not known");
   }
   return {budget_number(from, "floor", 1), static_cast<Time>(budget_number(from, "burst_ms", 10'000) * 1000)};
 }
--- a/relay/journal_hits.cpp
+++ b/relay/journal_hits.cpp
@@ -55,7 +55,7 @@
     out.counts_ = access::Counts::unpacked(bytes_in(at(whole, 3)));
     *this = std::move(out);
   } catch (const Bad&) {
-    throw umberhoist::Fault(access::kHitsNewer, "journal", "has totals of hits that do not read");
+    throw umberhoist::OperatorError(access::kHitsNewer, "journal", "has totals of hits that do not read");
   }
 }
 
--- a/relay/journal_records.cpp
+++ b/relay/journal_records.cpp
@@ -41,7 +41,7 @@
 void write_rules(RecordWriter& out, const MessageRules& rules) {
   out.number(rules.max_attempts).number(static_cast<int64_t>(rules.effect));
   out.number(static_cast<int64_t>(rules.key_scope)).number(rules.key_window).number(rules.in_order);
-  out.number(rules.target).number(rules.give_up).real(rules.worth).real(rules.late_worth);
+  out.number(rules.target).number(rules.time_to_live).real(rules.value).real(rules.late_value);
 }
 
 MessageRules read_rules(RecordReader& in, const std::string& name) {
@@ -53,9 +53,9 @@
   out.key_window = in.number();
   out.in_order = in.number() != 0;
   out.target = in.number();
-  out.give_up = in.number();
-  out.worth = in.real();
-  out.late_worth = in.real();
+  out.time_to_live = in.number();
+  out.value = in.real();
+  out.late_value = in.real();
   return out;
 }
 
@@ -188,7 +188,7 @@
         if (in.more()) entry.message.sequence_key = static_cast<uint64_t>(in.number());
       }
     } else {
-      const Time life = entry.message.rules ? entry.message.rules->give_up : Budget::kMost;
+      const Time life = entry.message.rules ? entry.message.rules->time_to_live : Budget::kMost;
       fresh.told.wall = due_by_wall - life;
       fresh.due = life;
     }
--- a/relay/known.cpp
+++ b/relay/known.cpp
@@ -57,13 +57,13 @@
   journal.remember(Journal::kRevision, std::to_string(directory.revision()));
 }
 
-void remember(Journal& journal, const DestinationMemory& memory) {
+void remember(Journal& journal, const DestinationSnapshot& memory) {
   const Instant now = instant_now();
   const auto wall = [&](Time t) { return t == 0 ? 0 : t + now.wall - now.steady; };
   const nlohmann::json fact = {{"tokens", memory.tokens},
-                               {"out_since", wall(memory.out_since)},
-                               {"back_since", wall(memory.back_since)},
-                               {"base", memory.base},
+                               {"out_since", wall(memory.outage_since)},
+                               {"back_since", wall(memory.recovered_since)},
+                               {"base", memory.served_rate},
                                {"clocks", {now.steady, now.wall, now.boot}}};
   journal.remember(kDestination + std::to_string(memory.destination), fact.dump());
 }
--- a/relay/listening.h
+++ b/relay/listening.h
@@ -9,11 +9,11 @@
 
 namespace firspool::relay {
 
-inline constexpr umberhoist::FaultKind kAddressFaults[] = {
+inline constexpr umberhoist::ErrorKind kAddressFaults[] = {
     {"address_unavailable",
      "see what else uses the address, and the machine's limits of descriptors and memory"},
 };
-inline constexpr const umberhoist::FaultKind& kAddressUnavailable = kAddressFaults[0];
+inline constexpr const umberhoist::ErrorKind& kAddressUnavailable = kAddressFaults[0];
 
 class AddressFault : public SystemFault {
  public:
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -89,7 +89,7 @@
 void Relay::recall(const std::map<std::string, std::string>& facts) {
   const Known known = read_known(facts, config_.names);
   if (!known.list.hosts.empty()) told(known.list);
-  for (const DestinationMemory& memory : known.memories) happened(memory);
+  for (const DestinationSnapshot& memory : known.memories) happened(memory);
 }
 
 void Relay::told(const HostList& list) { members_changed(directory_.apply(list)); }
@@ -172,7 +172,7 @@
   stopping_since_ = steady_now();
   if (handing_) return;
   if (fleet_) fleet_->leave();
-  happened(Closing{stopping_since_ + kLastCall});
+  happened(ShuttingDown{stopping_since_ + kLastCall});
   wait_for_end();
 }
 
@@ -213,7 +213,7 @@
 std::string Relay::busy_line(Time within) {
   const Settings& settings = config_.settings;
   const Time most = std::min(settings.max_retry_after, within);
-  if (!settings.retry_after_heard || most < kMs) return "-BUSY";
+  if (!settings.sends_retry_after || most < kMs) return "-BUSY";
   return "-BUSY " + std::to_string(std::uniform_int_distribution<Time>(most / 2, most)(random_) / kMs);
 }
 
--- a/relay/rules.cpp
+++ b/relay/rules.cpp
@@ -21,7 +21,7 @@
 void Relay::share_budgets() {
   if (!config_.fleet || !config_.fleet->budgets) return;
   BudgetLink::Host host;
-  host.grant = [this](const Granted& part) { happened(part); };
+  host.grant = [this](const ShareGranted& part) { happened(part); };
   host.waiting = [this](const std::function<void(const std::string&)>& each) {
     for (const auto& [number, held] : custody_.held()) {
       if (held.out) continue;
@@ -142,8 +142,8 @@
                                return held.second.handed.verdict != nullptr;
                              });
     if (under_rules && !umberhoist::access::names_kept(config_.access.names, next.access.names)) {
-      throw umberhoist::Fault(umberhoist::access::kNamesMoved, "settings.azs and settings.kinds",
-                              "are in another order");
+      throw umberhoist::OperatorError(umberhoist::access::kNamesMoved, "settings.azs and settings.kinds",
+                                      "are in another order");
     }
     if (config_.fleet && policy_of(next) != policy_of(config_)) {
       throw std::invalid_argument("its policy is not the fleet's: that is changed by POLICY PROPOSE");
--- a/relay/system_fault.h
+++ b/relay/system_fault.h
@@ -5,15 +5,15 @@
 #include <cstring>
 #include <string>
 
-#include "umberhoist/fault.h"
+#include "umberhoist/operator_error.h"
 
 namespace firspool::relay {
 
-class SystemFault : public umberhoist::Fault {
+class SystemFault : public umberhoist::OperatorError {
  public:
   // `error`: the errno that the failed call left.
-  SystemFault(const umberhoist::FaultKind& kind, const std::string& where, const std::string& what, int error)
-      : Fault(kind, where, what + ": " + std::strerror(error)), error_(error) {}
+  SystemFault(const umberhoist::ErrorKind& kind, const std::string& where, const std::string& what, int error)
+      : OperatorError(kind, where, what + ": " + std::strerror(error)), error_(error) {}
 
   // Whether the same call may succeed a moment later, with nobody doing anything.
   bool may_pass() const {
--- a/relay/turn.cpp
+++ b/relay/turn.cpp
@@ -30,7 +30,7 @@
 
 Lane Relay::lane_of(const Member& member) const {
   const auto& kinds = config_.settings.kinds;
-  const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].apart;
+  const bool apart = member.kind < static_cast<int>(kinds.size()) && kinds[member.kind].independent_endpoints;
   return {member.destination, apart ? member.endpoint : Endpoint{}};
 }
 
@@ -45,21 +45,22 @@
   if (now > call.start_by || held->handed.budget.over(now)) return false;
   if (waits_.until(lane_of(host->member)) > now) return false;
   const auto& verdict = held->handed.verdict;
-  if (verdict && !verdict->ways.of(host->member.zone, host->member.kind).allowed) return false;
+  if (verdict && !verdict->ways.rule_for(host->member.zone, host->member.kind).allowed) return false;
   return custody_.sends(*held, call.attempt, host->member.zone);
 }
 
 void Relay::ended(const AttemptEnded& end, bool began) {
   const ListedHost* host = directory_.find(end.endpoint);
-  if (end.wait > 0 && host != nullptr) waits_.tell(lane_of(host->member), steady_now() + end.wait);
+  if (end.retry_after > 0 && host != nullptr)
+    waits_.tell(lane_of(host->member), steady_now() + end.retry_after);
   if (Custody::Held* held = custody_.find(end.id)) {
     held->out = false;
-    if (end.outcome == Outcome::kUnsent) --held->attempts;
+    if (end.outcome == Outcome::kNotSent) --held->attempts;
     if (end.final) {
-      custody_.finish(end.id, {}, Reason::kTime, end.outcome == Outcome::kOk);
+      custody_.finish(end.id, {}, Reason::kDeadline, end.outcome == Outcome::kOk);
     } else {
       returned_.push_back(end.id);
-      if (began && ran_after(end.outcome) == Ran::kNever)
+      if (began && execution_after(end.outcome) == Execution::kNever)
         custody_.journal().never_ran(held->handed.id, end.attempt);
     }
   }
@@ -127,7 +128,7 @@
       unsent.id = send->id;
       unsent.attempt = held == nullptr ? 0 : held->attempts;
       unsent.endpoint = send->endpoint;
-      unsent.outcome = Outcome::kUnsent;
+      unsent.outcome = Outcome::kNotSent;
       unsent.final = held == nullptr;  // one that is held still is owed its end
       return happened(std::move(unsent));
     }
@@ -162,10 +163,10 @@
     upstream_.close_idle(close->endpoint);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
     wakes_.insert(timer->at);
-  } else if (const auto* memory = std::get_if<Remember>(&action)) {
-    remember(custody_.journal(), memory->memory);
-  } else if (const auto* avoided = std::get_if<Avoided>(&action)) {
-    avoided_ = avoided->endpoints;
+  } else if (const auto* memory = std::get_if<SaveSnapshot>(&action)) {
+    remember(custody_.journal(), memory->snapshot);
+  } else if (const auto* avoided = std::get_if<EndpointsAvoided>(&action)) {
+    avoided_ = avoided->count;
   } else if (const auto* log = std::get_if<Log>(&action)) {
     log_info("module", log->text);
   }
--- a/relay/upgrade_predecessor.cpp
+++ b/relay/upgrade_predecessor.cpp
@@ -40,7 +40,7 @@
   upstream_.close_all_idle();
   share_.file = custody_.journal().freeze();
   told_share_.clear();
-  happened(Closing{steady_now()});  // starts no call, and lets those that are out end
+  happened(ShuttingDown{steady_now()});  // starts no call, and lets those that are out end
   tell_share();
   wait_for_end();
 }
@@ -52,7 +52,7 @@
   for (auto& [number, held] : custody_.held()) {
     if (held.out || held.passed) continue;
     held.passed = true;
-    happened(Withdrawn{number});
+    happened(MessageReleased{number});
     link_->say(Word::kMessage, held.handed.id + "\n" + custody_.journal().records(held.handed.id));
   }
 }
@@ -129,7 +129,7 @@
   handing_ = closed_ = false;
   share_ = {};
   custody_.journal().limit(file_limit());
-  happened(Closing{std::numeric_limits<Time>::max()});
+  happened(ShuttingDown{std::numeric_limits<Time>::max()});
   // A message that it had written may have been sent by it: its records count, not the ones here.
   for (const Recovered& entry : written) {
     passed_on(entry.message.id);
--- a/relay/upgrade_successor.cpp
+++ b/relay/upgrade_successor.cpp
@@ -189,7 +189,7 @@
     if (!id.empty() && endpoint == Endpoint{}) continue;  // a host that left the list
     // An earlier version tells no steady clock.
     const bool steady = said.value("boot", uint64_t{0}) == now.boot && now.boot != 0;
-    const WaitTold told{
+    const RetryAfterReceived told{
         wait.at("cell").get<int>(), endpoint,
         steady ? wait.at("steady").get<Time>() : wait.at("until").get<Time>() + now.steady - now.wall};
     const Lane lane{told.destination, told.endpoint};
@@ -203,10 +203,10 @@
 
 // The module gets the settings as far as this process may use them.
 void Relay::apply_share() {
-  Retuned now{config_.settings};
+  SettingsChanged now{config_.settings};
   if (relays_ > 0) now.settings.relays = relays_;
   if (!budgets_) custody_.divide_limits(now.settings.relays);
-  now.settings.slots -= std::min(now.settings.slots, static_cast<int>(share_.calls));
+  now.settings.max_in_flight -= std::min(now.settings.max_in_flight, static_cast<int>(share_.calls));
   now.settings.max_open -= std::min(now.settings.max_open, static_cast<int>(share_.held));
   happened(std::move(now));
   if (!handing_) custody_.journal().limit(file_limit());
--- a/sim/simhost.cpp
+++ b/sim/simhost.cpp
@@ -1,4 +1,4 @@
-// Hosts one Policy for each simulated relay and speaks the simulator's wire on standard input and output.
+// Runs one Policy per simulated relay, with the simulator's wire format on standard input and output.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -11,13 +11,13 @@
 namespace firspool::wire {
 namespace {
 
-constexpr size_t kChunk = 1 << 20;  // read in pieces, so that a false length allocates nothing by itself
+constexpr size_t kChunkBytes = 1 << 20;  // a false length allocates no more than this ahead of the input
 
 bool read_exactly(std::string& out, size_t count) {
   out.clear();
   while (out.size() < count) {
     const size_t old = out.size();
-    const size_t want = std::min(kChunk, count - old);
+    const size_t want = std::min(kChunkBytes, count - old);
     out.resize(old + want);
     const size_t got = std::fread(out.data() + old, 1, want, stdin);
     if (got < want) {
@@ -32,16 +32,16 @@
  public:
   std::string handle(Time now, std::vector<InstanceEvent> events) {
     Encoder reply;
-    std::map<int, std::vector<Event>> pending;  // in the order of the instances' numbers
+    std::map<int, std::vector<Event>> pending;  // by instance, in ascending order
     for (InstanceEvent& item : events) {
       if (std::holds_alternative<Kill>(item.event)) {
         policies_.erase(item.instance);
         pending.erase(item.instance);
       } else if (const auto* start = std::get_if<PowerOn>(&item.event)) {
         pending.erase(item.instance);
-        guarded(item.instance, reply, [&] {
+        report_exceptions(item.instance, reply, [&] {
           policies_.erase(item.instance);
-          policies_.emplace(item.instance, Policy(parse_settings(start->facts), start->seed));
+          policies_.emplace(item.instance, Policy(parse_settings(start->settings), start->seed));
         });
         pending[item.instance];
       } else {
@@ -52,7 +52,7 @@
       const auto policy = policies_.find(instance);
       if (policy == policies_.end()) continue;
       std::vector<Action> actions;
-      guarded(instance, reply, [&] { policy->second.step(now, list, actions); });
+      report_exceptions(instance, reply, [&] { policy->second.step(now, list, actions); });
       reply.actions(instance, actions);
     }
     return reply.frame();
@@ -60,11 +60,11 @@
 
  private:
   template <typename F>
-  static void guarded(int instance, Encoder& reply, F&& run) {
+  static void report_exceptions(int instance, Encoder& reply, F&& run) {
     try {
       run();
     } catch (const std::exception& error) {
-      reply.panic(instance, error.what());
+      reply.report_error(instance, error.what());
     }
   }
 
--- a/sim/wire.cpp
+++ b/sim/wire.cpp
@@ -8,41 +8,41 @@
 namespace {
 
 constexpr size_t kMemberBytes = 24;
-constexpr uint32_t kLists = 16;  // host lists are numbered below this
-constexpr size_t kLongestText = 0xffff;
+constexpr uint32_t kMaxLists = 16;  // lists of endpoints are numbered from 0 to kMaxLists - 1
+constexpr size_t kMaxTextBytes = 0xffff;
 
-// Reads big-endian fields and knows where it stands.
+// Reads big-endian fields. Errors name the field and the position in the frame.
 class Reader {
  public:
   Reader(std::string_view bytes, size_t origin) : bytes_(bytes), origin_(origin) {}
 
-  size_t left() const { return bytes_.size() - at_; }
-  size_t position() const { return origin_ + at_; }
+  size_t left() const { return bytes_.size() - offset_; }
+  size_t position() const { return origin_ + offset_; }
 
-  std::string_view raw(size_t count, const char* what) {
-    if (count > left()) fail(std::string(what) + " is cut short");
-    at_ += count;
-    return bytes_.substr(at_ - count, count);
+  std::string_view raw(size_t count, const char* field) {
+    if (count > left()) fail(std::string(field) + " is cut short");
+    offset_ += count;
+    return bytes_.substr(offset_ - count, count);
   }
 
   template <typename T>
-  T number(const char* what) {
+  T number(const char* field) {
     T value = 0;
-    for (const char byte : raw(sizeof(T), what)) {
+    for (const char byte : raw(sizeof(T), field)) {
       value = static_cast<T>((static_cast<uint64_t>(value) << 8) | static_cast<uint8_t>(byte));
     }
     return value;
   }
 
-  uint8_t u8(const char* what) { return number<uint8_t>(what); }
-  uint16_t u16(const char* what) { return number<uint16_t>(what); }
-  uint32_t u32(const char* what) { return number<uint32_t>(what); }
-  uint64_t u64(const char* what) { return number<uint64_t>(what); }
-  float f32(const char* what) { return std::bit_cast<float>(u32(what)); }
+  uint8_t u8(const char* field) { return number<uint8_t>(field); }
+  uint16_t u16(const char* field) { return number<uint16_t>(field); }
+  uint32_t u32(const char* field) { return number<uint32_t>(field); }
+  uint64_t u64(const char* field) { return number<uint64_t>(field); }
+  float f32(const char* field) { return std::bit_cast<float>(u32(field)); }
 
-  Time time(const char* what) {
-    const double seconds = std::bit_cast<double>(u64(what));
-    if (!(std::abs(seconds) < 1e12)) fail(std::string(what) + " is out of range");
+  Time time(const char* field) {
+    const double seconds = std::bit_cast<double>(u64(field));
+    if (!(std::abs(seconds) < 1e12)) fail(std::string(field) + " is out of range");
     return std::llround(seconds * 1e6);
   }
 
@@ -68,7 +68,7 @@
  private:
   std::string_view bytes_;
   size_t origin_;
-  size_t at_ = 0;
+  size_t offset_ = 0;
 };
 
 Member read_member(Reader& in) {
@@ -86,8 +86,8 @@
   return out;
 }
 
-Arrival read_arrival(Reader& in) {
-  Arrival out;
+MessageReceived read_message(Reader& in) {
+  MessageReceived out;
   out.id = in.u64("op_id");
   out.message_class = in.u8("category");
   out.tenant = in.u16("customer");
@@ -101,24 +101,24 @@
   return out;
 }
 
-Outcome to_outcome(Reader& in) {
-  constexpr Outcome kByCode[] = {
+Outcome read_outcome(Reader& in) {
+  constexpr Outcome kOutcomeOfCode[] = {
       Outcome::kError,         Outcome::kOk,    Outcome::kFull,      Outcome::kTimeout,
-      Outcome::kConnectFailed, Outcome::kReset, Outcome::kCancelled, Outcome::kMoot};
+      Outcome::kConnectFailed, Outcome::kReset, Outcome::kCancelled, Outcome::kNotForwarded};
   const uint8_t code = in.u8("state_code");
-  if (code >= std::size(kByCode)) in.fail("unknown state_code");
-  return kByCode[code];
+  if (code >= std::size(kOutcomeOfCode)) in.fail("unknown state_code");
+  return kOutcomeOfCode[code];
 }
 
-AttemptEnded read_outcome(Reader& in) {
+AttemptEnded read_attempt_end(Reader& in) {
   AttemptEnded out;
   out.id = in.u64("op_id");
   out.endpoint = in.endpoint();
   out.took = in.time("took_s");
-  out.outcome = to_outcome(in);
+  out.outcome = read_outcome(in);
   out.final = in.u8("final") != 0;
   const uint32_t note = in.u32("note");
-  if (out.outcome == Outcome::kFull) out.wait = Time{note} * 1000;
+  if (out.outcome == Outcome::kFull) out.retry_after = Time{note} * 1000;
   out.attempt = in.u8("hop");
   out.report = in.report();
   return out;
@@ -127,14 +127,14 @@
 ProbeEnded read_probe(Reader& in) {
   ProbeEnded out;
   out.endpoint = in.endpoint();
-  out.ok = to_outcome(in) == Outcome::kOk;
+  out.ok = read_outcome(in) == Outcome::kOk;
   out.took = in.time("took_s");
   out.report = in.report();
   return out;
 }
 
-PeerNote read_note(Reader& in) {
-  PeerNote out;
+PeerMessage read_peer_message(Reader& in) {
+  PeerMessage out;
   out.from = in.u16("by");
   const uint16_t count = in.u16("octets");
   out.bytes = in.raw(count, "octets");
@@ -158,12 +158,12 @@
 }
 
 void put_text(std::string& out, std::string_view text) {
-  text = text.substr(0, kLongestText);
+  text = text.substr(0, kMaxTextBytes);
   put(out, static_cast<uint16_t>(text.size()));
   out.append(text);
 }
 
-// Writes one action's code and fields.
+// Writes the code and the fields of one action.
 struct ActionWriter {
   std::string& out;
 
@@ -204,13 +204,13 @@
     put<uint8_t>(out, 8);
     put<uint8_t>(out, 1);
   }
-  void operator()(const TellPeers& a) const {
+  void operator()(const BroadcastToPeers& a) const {
     put<uint8_t>(out, 11);
     put<uint16_t>(out, 0xffff);
     put_text(out, a.bytes);
   }
-  void operator()(const Remember&) const {}
-  void operator()(const Avoided&) const {}
+  void operator()(const SaveSnapshot&) const {}
+  void operator()(const EndpointsAvoided&) const {}
   void operator()(const Log& a) const {
     put<uint8_t>(out, 10);
     put_text(out, a.text);
@@ -245,7 +245,7 @@
         PowerOn event;
         event.seed = in.u64("prng");
         const uint32_t count = in.u32("facts");
-        event.facts = in.raw(count, "facts");
+        event.settings = in.raw(count, "facts");
         add(std::move(event));
         break;
       }
@@ -268,16 +268,16 @@
         break;
       }
       case 3:
-        add(Event(read_arrival(in)));
+        add(Event(read_message(in)));
         break;
-      case 4:  // the first part of a streamed answer: outside this service type
+      case 4:  // first part of a streamed answer: skipped, as this service has no streamed answers
         in.raw(23, "first");
         break;
       case 5:
-        add(Event(read_outcome(in)));
+        add(Event(read_attempt_end(in)));
         break;
       case 6:
-        add(Event(Withdrawn{in.u64("op_id")}));
+        add(Event(MessageReleased{in.u64("op_id")}));
         break;
       case 7:
         add(Event(TimerFired{in.u64("mark")}));
@@ -286,7 +286,7 @@
         add(Event(read_probe(in)));
         break;
       case 9:
-        add(Event(read_note(in)));
+        add(Event(read_peer_message(in)));
         break;
       case 10:
         add(Kill{});
@@ -294,7 +294,7 @@
       case 11: {
         const uint32_t ref = in.u32("ref");
         const uint32_t count = in.u32("nodes_list");
-        if (ref >= kLists) in.fail("list number is out of range");
+        if (ref >= kMaxLists) in.fail("list number is out of range");
         if (count > in.left() / kMemberBytes) in.fail("nodes_list is cut short");
         auto list = std::make_shared<std::vector<Member>>();
         list->reserve(count);
@@ -313,27 +313,29 @@
   return out;
 }
 
-void Encoder::speaking(int instance) {
+void Encoder::select_instance(int instance) {
   put<uint8_t>(body_, 4);
   put(body_, static_cast<uint16_t>(instance));
   ++records_;
 }
 
 void Encoder::actions(int instance, std::span<const Action> actions) {
-  const auto kept = [](const Action& action) {  // nothing outlasts a simulated relay, and nobody asks it
-    return std::holds_alternative<Remember>(action) || std::holds_alternative<Avoided>(action);
+  // The simulator has no messages for these: a simulated relay keeps nothing over a restart and has no
+  // metrics.
+  const auto not_encoded = [](const Action& action) {
+    return std::holds_alternative<SaveSnapshot>(action) || std::holds_alternative<EndpointsAvoided>(action);
   };
-  if (std::all_of(actions.begin(), actions.end(), kept)) return;
-  speaking(instance);
+  if (std::all_of(actions.begin(), actions.end(), not_encoded)) return;
+  select_instance(instance);
   for (const Action& action : actions) {
-    if (kept(action)) continue;
+    if (not_encoded(action)) continue;
     std::visit(ActionWriter{body_}, action);
     ++records_;
   }
 }
 
-void Encoder::panic(int instance, std::string_view text) {
-  speaking(instance);
+void Encoder::report_error(int instance, std::string_view text) {
+  select_instance(instance);
   put<uint8_t>(body_, 6);
   put_text(body_, text);
   ++records_;
--- a/sim/wire.h
+++ b/sim/wire.h
@@ -1,4 +1,4 @@
-// The simulator's wire: frames to events, actions to frames. Nothing is decided here.
+// The wire format of the simulator: decodes frames into events and encodes actions into frames.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,18 @@
 
 namespace firspool::wire {
 
-// A frame that cannot be read; the text says what and at which byte.
+// A malformed frame; the message says what is wrong and at which byte.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-struct PowerOn {
+struct PowerOn {  // starts an instance, in place of one that runs
   uint64_t seed = 0;
-  std::string facts;
+  std::string settings;  // (facts) text for parse_settings
 };
 
-struct Kill {};
+struct Kill {};  // ends an instance without notice
 
 struct InstanceEvent {
   int instance = 0;
@@ -43,7 +43,8 @@
 
 Header decode_header(std::string_view bytes);
 
-// Decodes the records of batches, in order. Host lists outlive a batch, so one decoder serves one input.
+// Decodes the records of consecutive frames. The lists of endpoints that one frame defines are valid in later
+// ones, so use one decoder per input stream.
 class Decoder {
  public:
   std::vector<InstanceEvent> decode(const Header& header, std::string_view body);
@@ -52,15 +53,15 @@
   std::map<uint32_t, std::shared_ptr<const std::vector<Member>>> lists_;
 };
 
-// Builds one reply.
+// Builds one reply frame.
 class Encoder {
  public:
   void actions(int instance, std::span<const Action> actions);
-  void panic(int instance, std::string_view text);
+  void report_error(int instance, std::string_view text);
   std::string frame() const;
 
  private:
-  void speaking(int instance);
+  void select_instance(int instance);  // the records that follow belong to it
 
   std::string body_;
   uint32_t records_ = 0;
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -1,4 +1,4 @@
-// Dispatch: which waiting messages go now, to which endpoint, and for how long an answer is waited for.
+// Dispatch: which waiting messages are sent now, to which endpoint, and with what timeout.
 #pragma once
 
 #include "connections.h"
@@ -7,12 +7,13 @@
 
 namespace firspool::detail {
 
-// Slot share: one destination's part of the slots while others wait, and how far long calls narrow it.
+// One destination's share of the slots (max_in_flight) while messages for others wait, and its minimum when
+// calls are slow.
 constexpr double kSlotShare = 0.5;
-constexpr double kSlotShareLeast = 0.15;
-constexpr double kTimeoutTimes = 2;  // time-out of a repeatable message, in multiples of the suspicious age
-constexpr double kUnsafeTimes = 2;   // and of an unsafe one, for which a time-out ends all hope, of that
-constexpr double kSecondsPerPrice = 5;  // seconds of latency that a price of 1 a call is held against
+constexpr double kMinSlotShare = 0.15;
+constexpr double kTimeoutFactor = 2;  // timeout of a repeatable message, in multiples of the suspicious age
+constexpr double kUnsafeTimeoutFactor = 2;  // on top for an unsafe message, which fails on a timeout
+constexpr double kSecondsPerPriceUnit = 5;  // latency that is as bad as a price of 1 per call
 
 class Dispatch {
  public:
@@ -20,15 +21,15 @@
       : s_(state), messages_(messages), connections_(connections), limits_(limits) {}
 
   void send(std::vector<Candidate> waiting) {
-    // First within each destination's share; slots that no other waits for then go to anyone.
-    for (const bool bound : {true, false}) {
+    // First each destination gets up to its share; then the remaining slots go to any message.
+    for (const bool within_share : {true, false}) {
       std::vector<Candidate> left;
       for (const Candidate& c : waiting) {
         Message& m = s_.messages.at(std::get<uint64_t>(c));
-        if (m.out) continue;  // went along in another message's call
+        if (m.out) continue;  // batched into another message's call
         Destination& d = s_.destinations[m.destination];
-        if (static_cast<int>(s_.calls.size()) >= s_.set.slots) return free_slots();
-        if (!bound || d.calls < slot_share(d))
+        if (static_cast<int>(s_.calls.size()) >= s_.set.max_in_flight) return cancel_overdue_calls();
+        if (!within_share || d.calls < slot_share(d))
           try_send(m, d, waiting);
         else
           left.push_back(c);
@@ -38,21 +39,21 @@
   }
 
  private:
-  // The design's slot share, narrowed while calls run longer than is usual at this destination.
+  // Slots for a destination, fewer while its calls take longer than usual.
   int slot_share(const Destination& d) const {
     const double usual = d.usual.seen == 0 ? 1 : std::min(1.0, d.usual.mean / std::max(1e-6, d.latency.mean));
-    const double share = std::max(kSlotShareLeast, kSlotShare * usual);
-    return std::max(1, static_cast<int>(std::ceil(s_.set.slots * share)));
+    const double share = std::max(kMinSlotShare, kSlotShare * usual);
+    return std::max(1, static_cast<int>(std::ceil(s_.set.max_in_flight * share)));
   }
 
-  // Messages wait and no slot is free: stop waiting for overdue calls, once such calls proved lost, not slow.
-  void free_slots() {
+  // Messages wait and no slot is free: cancels overdue calls, unless such calls proved to be only slow.
+  void cancel_overdue_calls() {
     if (!s_.set.may_cancel || s_.hope > kHopeLeast) return;
     for (auto& [id, attempt] : s_.attempts) {
       const auto message = s_.messages.find(id.first);
       if (attempt.cancelled || message == s_.messages.end()) continue;
       const Time suspicious = s_.latency_of(s_.hosts[attempt.endpoint]).suspicious();
-      if (seconds(s_.now - attempt.sent) < patience(message->second) * seconds(suspicious)) continue;
+      if (seconds(s_.now - attempt.sent) < timeout_factor(message->second) * seconds(suspicious)) continue;
       attempt.cancelled = true;
       s_.tell(Cancel{id.first, id.second});
     }
@@ -61,7 +62,7 @@
   void try_send(Message& m, Destination& d, const std::vector<Candidate>& waiting) {
     if (m.repeat && d.tokens < kToken) return;
     if (s_.closing - s_.now < s_.latency_of(d).suspicious()) return;
-    Host* host = choose(m, d);
+    Host* host = choose_host(m, d);
     if (host == nullptr || !limits_.may_scout(*host)) return;
     Lane& l = *host->lane;
     const bool scout = limits_.scouting(l);
@@ -71,34 +72,35 @@
     ++d.calls;
     limits_.charge(l);
     send(m, d, *host, call);
-    if (call.scout) return;  // one message is scout enough
-    // What goes to one endpoint in one round may share a call: one slot, one place under the limit, one fate.
+    if (call.scout) return;  // a trial call carries a single message
+    // Messages sent to one endpoint in one step may share a call: it takes one slot, counts once against the
+    // limit, and has one outcome.
     const auto kind = static_cast<size_t>(host->member.kind);
-    int room = kind < s_.set.kinds.size() ? s_.set.kinds[kind].batch - 1 : 0;
+    int batch_left = kind < s_.set.kinds.size() ? s_.set.kinds[kind].batch - 1 : 0;
     for (const Candidate& c : waiting) {
-      if (room <= 0) return;
+      if (batch_left <= 0) return;
       Message& other = s_.messages.at(std::get<uint64_t>(c));
       if (other.out || other.destination != m.destination) continue;
-      if ((other.repeat && d.tokens < kToken) || messages_.granted(other, *host) > s_.now) continue;
-      if (!messages_.may_go(other, *host, messages_.best_way(other, d))) continue;
+      if ((other.repeat && d.tokens < kToken) || messages_.shares_ready_at(other, *host) > s_.now) continue;
+      if (!messages_.may_use(other, *host, messages_.best_route(other, d))) continue;
       send(other, d, *host, call);
-      --room;
+      --batch_left;
     }
   }
 
-  Host* choose(const Message& m, const Destination& d) {
+  Host* choose_host(const Message& m, const Destination& d) {
     Host* best = nullptr;
     std::pair<int, double> best_cost;
-    const Way way = messages_.best_way(m, d);
-    const Lane* lane = nullptr;  // of the host before: most share one
+    const RouteRule best_route = messages_.best_route(m, d);
+    const Lane* lane = nullptr;  // of the previous host: most hosts share one
     Time admitted = 0;
     for (const auto& [endpoint, host] : d.hosts) {
-      if (!host->ready() || !messages_.may_go(m, *host, way)) continue;
+      if (!host->ready() || !messages_.may_use(m, *host, best_route)) continue;
       if (std::exchange(lane, host->lane) != host->lane) admitted = limits_.admits(*host->lane);
-      const Time at = std::max(admitted, messages_.granted(m, *host));
-      s_.wake(at);
-      if (at > s_.now) continue;
-      const std::pair cost{messages_.way(m, host->member).rank, cost_of(*host)};
+      const Time ready_at = std::max(admitted, messages_.shares_ready_at(m, *host));
+      s_.wake(ready_at);
+      if (ready_at > s_.now) continue;
+      const std::pair cost{messages_.route(m, host->member).rank, cost_of(*host)};
       if (best != nullptr && best_cost <= cost) continue;
       best = host;
       best_cost = cost;
@@ -108,22 +110,26 @@
 
   double cost_of(const Host& host) {
     const Latency& latency = host.latency.seen > 0 ? host.latency : s_.latency_of(host);
-    // The other relays' calls are not seen, but they do as this one does: the same would look best to all.
-    const int unseen = std::max(0, s_.set.relays - kSeen);
-    const double others = unseen > 0 ? unseen * host.sent.per_second(s_.now) * latency.mean : 0;
-    double cost = latency.mean * (1 + 0.5 * (host.calls + others)) / std::max(0.1, host.lane->room);
-    if (host.member.zone != s_.set.zone) cost += kSecondsPerPrice * s_.set.price_cross_zone;
-    if (connections_.needs_new(host)) cost += kSecondsPerPrice * s_.set.price_handshake;
+    // The calls of other relays are unknown, but they choose alike: without an estimate of their calls,
+    // all relays would pick the same host.
+    const int unseen_relays = std::max(0, s_.set.relays - kSeen);
+    const double other_calls =
+        unseen_relays > 0 ? unseen_relays * host.sent.per_second(s_.now) * latency.mean : 0;
+    double cost = latency.mean * (1 + 0.5 * (host.calls + other_calls)) / std::max(0.1, host.lane->room);
+    if (host.member.zone != s_.set.zone) cost += kSecondsPerPriceUnit * s_.set.price_cross_zone;
+    if (connections_.needs_new(host)) cost += kSecondsPerPriceUnit * s_.set.price_handshake;
     if (host.avoid_until > s_.now) cost += seconds(kAvoidMost);
     return cost;
   }
 
-  double patience(const Message& m) const { return m.rules->effect == Effect::kUnsafe ? kUnsafeTimes : 1; }
+  double timeout_factor(const Message& m) const {
+    return m.rules->effect == Effect::kUnsafe ? kUnsafeTimeoutFactor : 1;
+  }
 
   Time timeout_of(const Message& m, const Destination& d) {
-    // No call keeps its slot for the whole life of its message: lost answers would fill the slots one by one.
-    const double longest = std::max(1.0, kTimeoutTimes * seconds(s_.latency_of(d).suspicious()));
-    return std::min(m.due - s_.now, micros(patience(m) * longest));
+    // Bounded, as calls whose answers are lost would else occupy all slots until their messages expire.
+    const double longest = std::max(1.0, kTimeoutFactor * seconds(s_.latency_of(d).suspicious()));
+    return std::min(m.due - s_.now, micros(timeout_factor(m) * longest));
   }
 
   void send(Message& m, Destination& d, const Host& host, const Attempt& attempt) {
@@ -132,12 +138,12 @@
       d.tokens -= kToken;
       s_.touch(m.destination);
     }
-    messages_.pay(m, host);
+    messages_.charge_shares(m, host);
     m.repeat = false;
     m.out = true;
     ++s_.calls[attempt.call];
     s_.attempts[{m.id, m.attempts++}] = attempt;
-    s_.tell(Send{m.id, host.member.endpoint, timeout_of(m, d), messages_.last_start(m, d)});
+    s_.tell(Send{m.id, host.member.endpoint, timeout_of(m, d), messages_.latest_start(m, d)});
   }
 
   State& s_;
--- a/src/limits.h
+++ b/src/limits.h
@@ -34,7 +34,7 @@
   void weigh(double limit, Lane& l) const {
     l.limit = limit;
     // Many relays started together would use it up before the first of them hears how much is left.
-    if (s_.set.relays <= kSeen || s_.set.report_left < 0 || l.pace != 0) return;
+    if (s_.set.relays <= kSeen || s_.set.report_remaining_index < 0 || l.pace != 0) return;
     l.pace = even_part(limit);
     if (l.pacer.at == 0) l.pacer = {1, s_.now};
   }
@@ -46,8 +46,8 @@
 
   // A limit nearly used up makes its route dearer, so that routes with limits of their own are used evenly.
   void heed_report(const AttemptEnded& e, Lane& l) {
-    const double limit = reported(e.report, s_.set.report_limit, 0);
-    const double served = limit > 0 ? std::min(1.0, reported(e.report, s_.set.report_left, 1)) : 1;
+    const double limit = reported(e.report, s_.set.report_limit_index, 0);
+    const double served = limit > 0 ? std::min(1.0, reported(e.report, s_.set.report_remaining_index, 1)) : 1;
     if (limit > 0) follow(limit, served, l);
     if (e.outcome != Outcome::kOk && e.outcome != Outcome::kFull) return;
     l.room += 2 * kGain * ((e.outcome == Outcome::kOk ? served : 0) - l.room);
@@ -55,7 +55,9 @@
 
   // Share of the limit that is left, as reported; below 0: no limit is told.
   double left(const std::vector<float>& report) const {
-    return reported(report, s_.set.report_limit, 0) > 0 ? reported(report, s_.set.report_left, 1) : -1;
+    return reported(report, s_.set.report_limit_index, 0) > 0
+               ? reported(report, s_.set.report_remaining_index, 1)
+               : -1;
   }
 
   // Refused above a limit that all relays share: slower than the own demand, and again with each in a row.
@@ -146,10 +148,12 @@
 
   // Own part of what a cold destination takes beside callers that know of no outage. One that is out may be.
   double cold_rate(const Lane& l) const {
-    const double warm = l.out() ? 0 : seconds(s_.now - l.back_since) / std::max(1e-6, seconds(s_.set.cold));
-    const double capacity = s_.set.start_capacity + (1 - s_.set.start_capacity) * std::clamp(warm, 0.0, 1.0);
+    const double warm =
+        l.out() ? 0 : seconds(s_.now - l.back_since) / std::max(1e-6, seconds(s_.set.warmup_time));
+    const double capacity =
+        s_.set.warmup_start_capacity + (1 - s_.set.warmup_start_capacity) * std::clamp(warm, 0.0, 1.0);
     const double know = knowing(l);
-    const double budget = kColdMargin * s_.set.fall_multiple * capacity;
+    const double budget = kColdMargin * s_.set.overload_factor * capacity;
     const double least = std::max(kScoutPart * (few() ? 1 : budget) * l.base, kScoutLeast / s_.set.relays);
     return std::max(l.base * (budget - (1 - know)), l.out() ? least : 0) / know;
   }
--- a/src/members.h
+++ b/src/members.h
@@ -13,7 +13,7 @@
     if (e.form == MembersChanged::Form::kFailed) {
       watching_ = false;
       watch_at_ = s_.now + watch_pause_;
-      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, s_.set.ask_every / 2));
+      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, s_.set.list_request_interval / 2));
       return;
     }
     if (watching_) watch_pause_ = kSecond / 4;
@@ -44,7 +44,7 @@
   }
 
   void keep_watching() {
-    if (!s_.set.ask_for_list || watching_) return;
+    if (!s_.set.list_on_request || watching_) return;
     if (s_.now < watch_at_) return s_.wake(watch_at_);
     s_.tell(WatchList{});
     watching_ = true;
@@ -65,7 +65,7 @@
       if (host.avoid_until > s_.now) avoided_until_ = std::min(avoided_until_, host.avoid_until);
     }
     s_.avoided_counted = true;
-    if (count != std::exchange(avoided_, count)) s_.tell(Avoided{count});
+    if (count != std::exchange(avoided_, count)) s_.tell(EndpointsAvoided{count});
   }
 
   // All relays hear at once that a destination can be reached again, with messages waiting in each of them.
@@ -82,7 +82,8 @@
 
   // `changed` gets the lanes that it is in now, and was in before.
   void list(const Member& m, std::set<LaneKey>& changed) {
-    const bool apart = m.kind < static_cast<int>(s_.set.kinds.size()) && s_.set.kinds[m.kind].apart;
+    const bool apart =
+        m.kind < static_cast<int>(s_.set.kinds.size()) && s_.set.kinds[m.kind].independent_endpoints;
     Host& host = s_.hosts[m.endpoint];
     if (host.lane != nullptr) changed.insert(host.lane->key);
     if (m.listing == Listing::kGone) gone_.insert(m.endpoint);
--- a/src/messages.h
+++ b/src/messages.h
@@ -1,4 +1,4 @@
-// Messages: what each is worth and until when, what its rules still allow, and whose turn it is.
+// Messages: their value over time, what their rules still allow, and the order of messages with the same key.
 #pragma once
 
 #include "firspool/attempt_end.h"
@@ -6,209 +6,229 @@
 
 namespace firspool::detail {
 
-constexpr Time kPauseLeast = 20 * kMs;  // a repeat's random pause: long enough to leave the moment of failure
-constexpr double kUsualDevs = 2;  // hardly an answer comes by so many mean deviations sooner than is usual
-constexpr int kUsualSeen = 5;     // so many served calls tell how long one usually takes
-constexpr Time kWindowMargin = 50 * kMs;  // a repeat's bytes are under way, and clocks differ a little
+constexpr Time kMinPause = 20 * kMs;      // of a repeat's random backoff: outlasts the moment of the failure
+constexpr double kFastestAnswerDevs = 2;  // hardly any answer is faster than the mean by more mean deviations
+constexpr int kMinLatencySamples = 5;     // served calls before the mean latency is used
+constexpr Time kKeyWindowMargin = 50 * kMs;  // for a repeat's time on the network and small clock differences
 
-// A message's worth for each second of a slot, negated: the most comes first; its target, and its number.
+// Sort key of a waiting message: its value per second of a slot, negated so that the highest comes first; its
+// target time; its id.
 using Candidate = std::tuple<double, Time, uint64_t>;
 
 class Messages {
  public:
   explicit Messages(State& state) : s_(state) {}
 
-  void take(const Arrival& e) {
+  void add(const MessageReceived& e) {
     const bool known = e.message_class >= 0 && e.message_class < static_cast<int>(s_.rules.size());
     if (!e.rules && !known) throw std::invalid_argument("unknown class of message " + std::to_string(e.id));
-    const auto [it, fresh] = s_.messages.try_emplace(e.id, Message{e});
-    if (!fresh) throw std::invalid_argument("message " + std::to_string(e.id) + " came twice");
+    const auto [it, inserted] = s_.messages.try_emplace(e.id, Message{e});
+    if (!inserted) throw std::invalid_argument("message " + std::to_string(e.id) + " was received twice");
     Message& m = it->second;
     if (!m.rules) m.rules = s_.rules[e.message_class];
-    m.target = e.due - m.rules->give_up + m.rules->target;
-    m.worth = m.rules->worth * tenant_share(e.tenant);
+    m.target = e.due - m.rules->time_to_live + m.rules->target;
+    m.worth = m.rules->value * tenant_value_factor(e.tenant);
     m.repeat = e.attempts > 0;
-    if (m.repeat && e.pause) pause(m);
-    m.resumed_ran = e.ran;
-    if (e.resumed) {  // relays that restart at once are out of step; an attempt of it failed
+    if (m.repeat && e.needs_backoff) back_off(m);
+    m.resumed_ran = e.maybe_executed;
+    if (e.resumed) {
+      // The random fill of the bucket desynchronizes relays that restart at once. Earlier attempts at the
+      // message count as one failure.
       Lane& l = s_.lane({e.destination, Endpoint{}});
       l.pacer = {seconds(s_.random.between(0, kSecond)), s_.now};
       l.hard = std::max(l.hard, std::min(e.attempts, 1));
     }
-    if (m.rules->in_order && e.key != 0) turns_[e.key].push_back(e.id);
-    if (m.rules->in_order && e.ran) key_rests_[e.key] = {s_.now + s_.set.order_pause, e.id};
+    if (m.rules->in_order && e.key != 0) key_order_[e.key].push_back(e.id);
+    if (m.rules->in_order && e.maybe_executed) key_pauses_[e.key] = {s_.now + s_.set.order_pause, e.id};
   }
 
-  // Nothing is owed for it any more, but while its call is out it keeps its turn.
-  void withdraw(const Withdrawn& e) {
+  // Nothing is pending for the message any more, but it holds its position in the key's order while its call
+  // is in flight.
+  void release(const MessageReleased& e) {
     const auto it = s_.messages.find(e.id);
-    if (it == s_.messages.end()) return leave_turn(e.key, e.id);
+    if (it == s_.messages.end()) return leave_key_order(e.key, e.id);
     it->second.withdrawn = true;
-    if (!it->second.out) end(it->second);
+    if (!it->second.out) remove(it->second);
   }
 
-  void ended(const AttemptEnded& e, const Attempt& attempt, int zone) {
+  void on_attempt_ended(const AttemptEnded& e, const Attempt& attempt, int zone) {
     const auto found = s_.messages.find(e.id);
     if (found == s_.messages.end()) return;
     Message& m = found->second;
     m.out = false;
-    const bool hanging =
+    const bool may_still_run =
         e.outcome == Outcome::kTimeout || e.outcome == Outcome::kReset || e.outcome == Outcome::kCancelled;
-    if (m.rules->in_order && hanging) key_rests_[m.key] = {s_.now + s_.set.order_pause, e.id};
-    if (e.final || m.withdrawn) return end(m);
-    if (e.outcome == Outcome::kMoot) return;
-    if (e.outcome == Outcome::kUnsent) return unsent(m);
+    if (m.rules->in_order && may_still_run) key_pauses_[m.key] = {s_.now + s_.set.order_pause, e.id};
+    if (e.final || m.withdrawn) return remove(m);
+    if (e.outcome == Outcome::kNotForwarded) return;
+    if (e.outcome == Outcome::kNotSent) return on_not_sent(m);
     m.repeat = true;
-    pause(m);
-    if (ran_after(e.outcome) == Ran::kNever || m.ran) return;
-    m.ran = true;
-    m.ran_sent = attempt.sent;
-    m.ran_zone = zone;
+    back_off(m);
+    if (execution_after(e.outcome) == Execution::kNever || m.maybe_executed) return;
+    m.maybe_executed = true;
+    m.maybe_executed_sent_at = attempt.sent;
+    m.maybe_executed_zone = zone;
   }
 
-  void end(const Message& m, bool given_up = false) {
-    if (m.key != 0 && !(given_up && m.keeps_turn)) leave_turn(m.key, m.id);
+  // `by_module`: the module refused or failed the message.
+  void remove(const Message& m, bool by_module = false) {
+    if (m.key != 0 && !(by_module && m.holds_order)) leave_key_order(m.key, m.id);
     s_.messages.erase(s_.messages.find(m.id));
   }
 
-  bool refusable(const Message& m) const {
+  // A refused message may be retried by its client: that must not execute it twice.
+  bool may_refuse(const Message& m) const {
     const ClassSettings& c = *m.rules;
-    if (c.effect == Effect::kSafe || !m.ran) return true;
+    if (c.effect == Effect::kSafe || !m.maybe_executed) return true;
     return !m.resumed_ran && c.effect == Effect::kKeyed && c.key_scope == KeyScope::kAll;
   }
 
-  bool untried(const Message& m) const { return m.resumed && m.attempts == 0; }  // a restart owes it one
+  // A resumed message without an attempt is guaranteed one.
+  bool owes_attempt(const Message& m) const { return m.resumed && m.attempts == 0; }
   bool may_repeat(const Message& m) const {
-    return m.attempts < m.rules->max_attempts && !(m.ran && m.rules->effect == Effect::kUnsafe);
+    return m.attempts < m.rules->max_attempts && !(m.maybe_executed && m.rules->effect == Effect::kUnsafe);
   }
 
-  Way way(const Message& m, const Member& member) const {
-    return m.ways ? m.ways->of(member.zone, member.kind) : Way{};
+  RouteRule route(const Message& m, const Member& member) const {
+    return m.routes ? m.routes->rule_for(member.zone, member.kind) : RouteRule{};
   }
 
-  // How long to stay away, where no endpoint is listed that its ways allow; kNever where none ever was.
-  Time shut(const Message& m, const Destination& d) const {
-    const auto open = [&](const auto& at) { return way(m, at.second->member).allowed; };
-    if (!m.ways || d.hosts.empty() || std::ranges::any_of(d.hosts, open)) return 0;
-    const auto was = [&](const auto& at) { return m.ways->of(at.first, at.second).allowed; };
-    return std::ranges::any_of(d.known, was) ? kSecond : kNever;
+  // The retry-after of a message whose routes allow none of the listed endpoints: 0 if they allow one, kNever
+  // if they allow no endpoint that was ever listed.
+  Time no_route_delay(const Message& m, const Destination& d) const {
+    const auto allowed = [&](const auto& entry) { return route(m, entry.second->member).allowed; };
+    if (!m.routes || d.hosts.empty() || std::ranges::any_of(d.hosts, allowed)) return 0;
+    const auto ever_allowed = [&](const auto& entry) {
+      return m.routes->rule_for(entry.first, entry.second).allowed;
+    };
+    return std::ranges::any_of(d.known, ever_allowed) ? kSecond : kNever;
   }
 
-  // The way of the lowest rank that can be taken at all, of several the fastest; not allowed: none can.
-  Way best_way(const Message& m, const Destination& d) const {
-    if (!m.ways) return {};
-    Way best{false, 0, -1};
-    const auto speed = [this](const Way& w) { return w.limit < 0 ? 1e9 : s_.limit(w.limit).per_s; };
+  // The usable route of the lowest rank, of several the one with the highest rate limit; not allowed if no
+  // route is usable.
+  RouteRule best_route(const Message& m, const Destination& d) const {
+    if (!m.routes) return {};
+    RouteRule best{false, 0, -1};
+    const auto rate = [this](const RouteRule& r) {
+      return r.limit_id < 0 ? 1e9 : s_.limit(r.limit_id).per_s;
+    };
     for (const auto& [endpoint, host] : d.hosts) {
-      const bool up = host->ready() && !host->lane->out() && host->avoid_until <= s_.now;
-      if (!up || !in_scope(m, host->member) || host->lane->wait_until >= last_start(m, d)) continue;
-      const Way w = way(m, host->member);
-      if (!best.allowed || std::pair(w.rank, -speed(w)) < std::pair(best.rank, -speed(best))) best = w;
+      const bool usable = host->ready() && !host->lane->out() && host->avoid_until <= s_.now;
+      if (!usable || !in_scope(m, host->member) || host->lane->wait_until >= latest_start(m, d)) continue;
+      const RouteRule candidate = route(m, host->member);
+      if (!best.allowed || std::pair(candidate.rank, -rate(candidate)) < std::pair(best.rank, -rate(best)))
+        best = candidate;
     }
     return best;
   }
 
-  // Ways of a higher rank wait for the best one; one of a lower rank is asked for its outage's end.
-  bool may_go(const Message& m, const Host& host, const Way& best) const {
-    const int rank = way(m, host.member).rank;
+  // Routes of a higher rank than the best one are not used. One of a lower rank is, as a trial call that
+  // finds out whether its outage is over.
+  bool may_use(const Message& m, const Host& host, const RouteRule& best) const {
+    const int rank = route(m, host.member).rank;
     const bool lower = rank < best.rank && host.avoid_until <= s_.now;
     return in_scope(m, host.member) && (!best.allowed || rank == best.rank || lower);
   }
 
-  // When the parts that an attempt pays out of let it go.
-  Time granted(const Message& m, const Host& host) const {
-    const int limit = way(m, host.member).limit;
+  // The earliest time at which the shares that an attempt on this host pays for have a token.
+  Time shares_ready_at(const Message& m, const Host& host) const {
+    const int limit_id = route(m, host.member).limit_id;
     const Time at = host.lane->part->held() ? host.lane->part->ready(s_.now) : s_.now;
-    return limit < 0 ? at : std::max(at, s_.limit(limit).ready(s_.now));
+    return limit_id < 0 ? at : std::max(at, s_.limit(limit_id).ready(s_.now));
   }
-  void pay(const Message& m, const Host& host) const {
-    const int limit = way(m, host.member).limit;
-    if (limit >= 0) s_.limit(limit).tokens -= 1;
+  void charge_shares(const Message& m, const Host& host) const {
+    const int limit_id = route(m, host.member).limit_id;
+    if (limit_id >= 0) s_.limit(limit_id).tokens -= 1;
     if (host.lane->part->held()) host.lane->part->tokens -= 1;
   }
 
-  // A keyed message that may have run stays with the endpoints that remember its key.
+  // A keyed message that may have been executed stays with the endpoints that remember its key.
   bool in_scope(const Message& m, const Member& member) const {
-    if (!way(m, member).allowed) return false;
+    if (!route(m, member).allowed) return false;
     const bool zoned = m.rules->effect == Effect::kKeyed && m.rules->key_scope == KeyScope::kZone;
-    return !m.ran || !zoned || member.zone == m.ran_zone;
+    return !m.maybe_executed || !zoned || member.zone == m.maybe_executed_zone;
   }
 
-  // From then on too little is left for the usual answer, or the destination may have forgotten the key.
-  Time last_start(const Message& m, const Destination& d) const {
+  // The latest time to start an attempt: after it too little time is left for an answer, or the destination
+  // may have forgotten the key.
+  Time latest_start(const Message& m, const Destination& d) const {
     Time at = m.due - 2 * s_.set.tick;
-    const double soonest = std::max(0.0, d.usual.mean - kUsualDevs * d.usual.dev);
-    if (d.usual.seen >= kUsualSeen) at = std::min(at, m.due - micros(soonest));
-    if (!m.ran || m.rules->effect != Effect::kKeyed) return at;
-    const Time margin = s_.set.tick + kWindowMargin + s_.set.write_delay;
-    return std::min(at, m.ran_sent + m.rules->key_window - margin);
+    const double soonest = std::max(0.0, d.usual.mean - kFastestAnswerDevs * d.usual.dev);
+    if (d.usual.seen >= kMinLatencySamples) at = std::min(at, m.due - micros(soonest));
+    if (!m.maybe_executed || m.rules->effect != Effect::kKeyed) return at;
+    const Time margin = s_.set.tick + kKeyWindowMargin + s_.set.write_delay;
+    return std::min(at, m.maybe_executed_sent_at + m.rules->key_window - margin);
   }
 
-  double worth_at(const Message& m, Time at) const {
+  double value_at(const Message& m, Time at) const {
     const ClassSettings& c = *m.rules;
     if (at <= m.target) return m.worth;
     if (at >= m.due) return 0;
     const double late = seconds(at - m.target);
-    if (s_.set.late_by_halves) return m.worth * std::max(c.late_worth, std::exp2(-late / seconds(c.target)));
-    return m.worth * (1 - (1 - c.late_worth) * late / std::max(1e-6, seconds(m.due - m.target)));
+    if (s_.set.exponential_late_value)
+      return m.worth * std::max(c.late_value, std::exp2(-late / seconds(c.target)));
+    return m.worth * (1 - (1 - c.late_value) * late / std::max(1e-6, seconds(m.due - m.target)));
   }
 
-  // Those that may go now, in the order in which they should.
+  // The messages that may be sent now, in the order in which to send them.
   std::vector<Candidate> waiting() {
-    std::erase_if(key_rests_, [this](const auto& rest) { return rest.second.first <= s_.now; });
+    std::erase_if(key_pauses_, [this](const auto& entry) { return entry.second.first <= s_.now; });
     std::vector<Candidate> list;
     for (const auto& [id, m] : s_.messages) {
       if (m.out) continue;
       s_.wake(m.not_before);
       if (m.not_before > s_.now) continue;
       const auto d = s_.destinations.find(m.destination);
-      if (d == s_.destinations.end() || d->second.hosts.empty() || !has_turn(m)) continue;
+      if (d == s_.destinations.end() || d->second.hosts.empty() || !is_next_of_key(m)) continue;
       const double latency = s_.latency_of(d->second).mean;
-      list.push_back({-worth_at(m, s_.now + micros(latency)) / std::max(0.01, latency), m.target, id});
+      list.push_back({-value_at(m, s_.now + micros(latency)) / std::max(0.01, latency), m.target, id});
     }
     std::sort(list.begin(), list.end());
     return list;
   }
 
  private:
-  void leave_turn(uint64_t key, uint64_t id) {
-    if (std::erase(turns_[key], id); turns_[key].empty()) turns_.erase(key);
+  void leave_key_order(uint64_t key, uint64_t id) {
+    if (std::erase(key_order_[key], id); key_order_[key].empty()) key_order_.erase(key);
   }
 
-  // The attempt did not begin, and a token that it paid is the next one's. What hindered it may last a
-  // moment.
-  void unsent(Message& m) {
+  // The attempt is not counted, and the retry token that it took serves the next one. It backs off, as the
+  // cause may last a moment.
+  void on_not_sent(Message& m) {
     --m.attempts;
-    pause(m);
+    back_off(m);
   }
 
-  void pause(Message& m) { m.not_before = s_.now + s_.random.between(kPauseLeast, kPauseMost); }
+  void back_off(Message& m) { m.not_before = s_.now + s_.random.between(kMinPause, kPauseMost); }
 
-  // What a tenant sends beyond its quota is worth little. A part that was not granted is taken as even.
-  double tenant_share(int tenant) {
+  // The factor on a message's value: below 1 beyond its tenant's quota. Without a granted share the quota is
+  // divided evenly among the relays.
+  double tenant_value_factor(int tenant) {
     if (tenant < 0 || tenant >= static_cast<int>(s_.set.tenants.size())) return 1;
-    const Part& part = s_.parts[{Granted::Of::kTenant, tenant}];
+    const Part& part = s_.parts[{ShareGranted::Scope::kTenant, tenant}];
     const double quota = part.held() ? part.per_s : s_.set.tenants[tenant].quota_per_s / s_.set.relays;
-    if (quota <= 0) return part.held() ? s_.set.over_share_worth : 1;
+    if (quota <= 0) return part.held() ? s_.set.over_share_value : 1;
     Pacer& pacer = s_.tenant_pacers.try_emplace(tenant, Pacer{2 * quota, s_.now}).first->second;
     pacer.refill(s_.now, quota, std::max(1.0, 2 * quota));
-    if (pacer.tokens < 1) return s_.set.over_share_worth;
+    if (pacer.tokens < 1) return s_.set.over_share_value;
     pacer.tokens -= 1;
     return 1;
   }
 
-  bool has_turn(const Message& m) {
+  bool is_next_of_key(const Message& m) {
     if (!m.rules->in_order || m.key == 0) return true;
-    if (turns_[m.key].front() != m.id) return false;
-    const auto rest = key_rests_.find(m.key);
-    if (rest == key_rests_.end() || rest->second.second == m.id) return true;
-    s_.wake(rest->second.first);
+    if (key_order_[m.key].front() != m.id) return false;
+    const auto pause = key_pauses_.find(m.key);
+    if (pause == key_pauses_.end() || pause->second.second == m.id) return true;
+    s_.wake(pause->second.first);
     return false;
   }
 
   State& s_;
-  std::map<uint64_t, std::vector<uint64_t>> turns_;          // of the messages of each key in order
-  std::map<uint64_t, std::pair<Time, uint64_t>> key_rests_;  // until then none but that message goes
+  // Of classes in order: the ids of each key's messages, in their order.
+  std::map<uint64_t, std::vector<uint64_t>> key_order_;
+  // Of each key: until when it pauses, and the only message that may be sent meanwhile.
+  std::map<uint64_t, std::pair<Time, uint64_t>> key_pauses_;
 };
 
 }  // namespace firspool::detail
--- a/src/outages.h
+++ b/src/outages.h
@@ -16,15 +16,15 @@
  public:
   Outages(State& state, const Limits& limits) : s_(state), limits_(limits) {}
 
-  void recall(const DestinationMemory& e) {
+  void recall(const DestinationSnapshot& e) {
     Destination& d = s_.destinations[e.destination];
     d.tokens = std::clamp(e.tokens, 0, kBucketCap);
     d.remembered = e;
-    if (e.out_since == 0) return;
+    if (e.outage_since == 0) return;
     Lane& l = s_.lane({e.destination, Endpoint{}});
-    l.out_since = e.out_since;
-    l.back_since = e.back_since;
-    l.base = e.base;
+    l.out_since = e.outage_since;
+    l.back_since = e.recovered_since;
+    l.base = e.served_rate;
     l.cold = {seconds(s_.random.between(0, kSecond)), s_.now};
     s_.turned(e.destination);
     watch(l);
@@ -33,10 +33,10 @@
   void remember() {
     for (const int number : std::exchange(s_.touched, {})) {
       Destination& d = s_.destinations[number];
-      DestinationMemory next{number, d.tokens - d.tokens % kToken};
+      DestinationSnapshot next{number, d.tokens - d.tokens % kToken};
       const Lane& l = s_.lane({number, Endpoint{}});
       if (l.out_since != 0) next = {number, next.tokens, l.out_since, l.back_since, l.base};
-      if (next != std::exchange(d.remembered, next)) s_.tell(Remember{next});
+      if (next != std::exchange(d.remembered, next)) s_.tell(SaveSnapshot{next});
     }
   }
 
@@ -103,7 +103,7 @@
   bool judge(Lane& l) {  // whether it is to be watched on
     const int overdue = std::exchange(l.overdue, 0);
     if (l.out_since != 0) {
-      if (l.out() || s_.now - l.back_since < s_.set.cold) return true;
+      if (l.out() || s_.now - l.back_since < s_.set.warmup_time) return true;
       log(l, "warm");
       l.out_since = 0;
       s_.turned(l.key.first);
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,4 +1,5 @@
-// The module's step: folds what happened into its parts, the headers beside this, then lets each decide once.
+// The step of the module: applies the events to its components (the headers in this folder), then each
+// decides once.
 #include "firspool/policy.h"
 
 #include "dispatch.h"
@@ -15,40 +16,42 @@
   Impl(const Settings& settings, uint64_t seed) : s_(settings, seed) {}
 
   void step(Time now, std::span<const Event> events, std::vector<Action>& actions) {
-    if (now < s_.now) throw std::invalid_argument("time goes back");
+    if (now < s_.now) throw std::invalid_argument("time goes backwards");
     if (s_.started == kNever) s_.started = now;
     s_.now = now;
     s_.out = &actions;
-    for (const Event& event : events) std::visit([this](const auto& e) { fold(e); }, event);
+    for (const Event& event : events) std::visit([this](const auto& e) { handle(e); }, event);
     members_.forget_gone();
     s_.wake_at = kNever;
     members_.keep_watching();
     outages_.assess();
-    refusals_.settle();
-    refusals_.shed(1);  // before any of what came is sent
+    refusals_.end_hopeless();
+    refusals_.shed_lowest_value(1);  // before any new message is sent
     const std::vector<Candidate> waiting = messages_.waiting();
     dispatch_.send(waiting);
-    refusals_.turn_away(waiting);
-    refusals_.shed(kShedAbove);
+    refusals_.refuse_queue_overflow(waiting);
+    refusals_.shed_lowest_value(kShedThreshold);
     outages_.remember();
     members_.tell_avoided();
-    arm();
+    set_timer();
   }
 
  private:
-  void fold(const Retuned& e) { s_.retune(e.settings); }
-  void fold(const MembersChanged& e) { members_.changed(e); }
-  void fold(const Arrival& e) { messages_.take(e); }
-  void fold(const Withdrawn& e) { messages_.withdraw(e); }
-  void fold(const PeerNote&) {}
-  void fold(const DestinationMemory& e) { outages_.recall(e); }
-  void fold(const WaitTold& e) { limits_.wait(e.until, s_.lane({e.destination, e.endpoint})); }
-  void fold(const Granted& e) { s_.parts[{e.of, e.number}].grant(e, s_.now); }
-  void fold(const Closing& e) { s_.closing = e.at; }
-  void fold(const ProbeEnded& e) { limits_.probed(e); }
-  void fold(const TimerFired& e) { armed_ = static_cast<Time>(e.token) == armed_ ? kNever : armed_; }
+  void handle(const SettingsChanged& e) { s_.retune(e.settings); }
+  void handle(const MembersChanged& e) { members_.changed(e); }
+  void handle(const MessageReceived& e) { messages_.add(e); }
+  void handle(const MessageReleased& e) { messages_.release(e); }
+  void handle(const PeerMessage&) {}
+  void handle(const DestinationSnapshot& e) { outages_.recall(e); }
+  void handle(const RetryAfterReceived& e) { limits_.wait(e.until, s_.lane({e.destination, e.endpoint})); }
+  void handle(const ShareGranted& e) { s_.parts[{e.scope, e.id}].grant(e, s_.now); }
+  void handle(const ShuttingDown& e) { s_.closing = e.at; }
+  void handle(const ProbeEnded& e) { limits_.probed(e); }
+  void handle(const TimerFired& e) {
+    timer_at_ = static_cast<Time>(e.token) == timer_at_ ? kNever : timer_at_;
+  }
 
-  void fold(const AttemptEnded& e) {
+  void handle(const AttemptEnded& e) {
     const auto found = s_.attempts.extract({e.id, e.attempt});
     if (found.empty()) return;
     const Attempt& attempt = found.mapped();
@@ -61,30 +64,31 @@
     }
     host.last_used = s_.now;
     host.lane->scouts -= attempt.scout;
-    learn(e, attempt, host, d);
+    learn_outcome(e, attempt, host, d);
     connections_.spare(host, s_.kinds[d.kind]);
-    messages_.ended(e, attempt, host.member.zone);
+    messages_.on_attempt_ended(e, attempt, host.member.zone);
   }
 
-  void learn(const AttemptEnded& e, const Attempt& attempt, Host& host, Destination& d) {
+  void learn_outcome(const AttemptEnded& e, const Attempt& attempt, Host& host, Destination& d) {
     Lane& l = *host.lane;
     Kind& kind = s_.kinds[d.kind];
     limits_.heed_report(e, l);
     connections_.learn(e.outcome, attempt, kind, l);
     const bool ok = e.outcome == Outcome::kOk;
     const bool late = e.outcome == Outcome::kTimeout;
-    // Slow or lost: whether calls past the suspicious age are served after all.
+    // The share of calls past the suspicious age that are served after all: slow, not lost.
     if ((ok || late) && e.took > s_.latency_of(d).suspicious())
       s_.hope += 2 * kGain * ((ok ? 1 : 0) - s_.hope);
-    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMoot || e.outcome == Outcome::kUnsent)
+    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kNotForwarded ||
+        e.outcome == Outcome::kNotSent)
       return;
     if (e.outcome == Outcome::kFull) {
-      if (e.wait > 0) limits_.wait(s_.now + e.wait, l);
-      if (e.wait > 0 && l.steered) l.pacer = limits_.late_start(l.wait_until);
-      if (e.wait == 0) limits_.narrow(attempt, l);
+      if (e.retry_after > 0) limits_.wait(s_.now + e.retry_after, l);
+      if (e.retry_after > 0 && l.steered) l.pacer = limits_.late_start(l.wait_until);
+      if (e.retry_after == 0) limits_.narrow(attempt, l);
       const double left = limits_.left(e.report);
-      outages_.unserved(attempt, l, left >= kUsedUp && l.out_since == 0 && limits_.rare(l), e.wait);
-      // A rare caller is refused for long by a limit that others use up: that is no outage.
+      outages_.unserved(attempt, l, left >= kUsedUp && l.out_since == 0 && limits_.rare(l), e.retry_after);
+      // A limit that other relays use up may reject a rare caller for long: that is no outage.
       if (left >= 0 && left < kUsedUp) l.streak_since = kNever;
     } else if (ok) {
       d.tokens = std::min(kBucketCap, d.tokens + 1);
@@ -98,7 +102,8 @@
       limits_.served(l);
       outages_.served(attempt, l);
     } else {
-      // Lost answers are no sign of slowness: time-outs teach only where overdue calls are served after all.
+      // A lost answer says nothing of the latency: timeouts count only where overdue calls are served after
+      // all.
       if (late && s_.hope > kHopeLeast && l.last_served_sent < attempt.sent) learn_latency(d, kind, e.took);
       if (e.outcome != Outcome::kError) connections_.avoid(host);
       outages_.unserved(attempt, l, true, 0);
@@ -113,10 +118,10 @@
     d.latency.add(seconds(took));
   }
 
-  void arm() {
-    if (s_.wake_at == kNever || (armed_ > s_.now && armed_ <= s_.wake_at)) return;
-    armed_ = s_.wake_at;
-    s_.tell(SetTimer{static_cast<uint64_t>(armed_), armed_});
+  void set_timer() {
+    if (s_.wake_at == kNever || (timer_at_ > s_.now && timer_at_ <= s_.wake_at)) return;
+    timer_at_ = s_.wake_at;
+    s_.tell(SetTimer{static_cast<uint64_t>(timer_at_), timer_at_});
   }
 
   State s_;
@@ -127,7 +132,7 @@
   Messages messages_{s_};
   Refusals refusals_{s_, messages_};
   Dispatch dispatch_{s_, messages_, connections_, limits_};
-  Time armed_ = kNever;
+  Time timer_at_ = kNever;
 };
 
 Policy::Policy(Settings settings, uint64_t seed) : impl_(std::make_unique<Impl>(settings, seed)) {}
--- a/src/refusals.h
+++ b/src/refusals.h
@@ -1,4 +1,4 @@
-// Refusals: which messages are given up, why, and when their clients should come again.
+// Refusals: which messages are refused or failed, why, and when their clients should retry.
 #pragma once
 
 #include "limits.h"
@@ -6,93 +6,100 @@
 
 namespace firspool::detail {
 
-constexpr double kShedAbove = 0.9;  // part of max_open above which the least worth is given back
-constexpr double kUnknown = 0;
-constexpr double kOpenShare = 0.5;  // a destination with more of the places than this part makes room first
-constexpr double kDrainDoubt = 1 / (kLimitCut * kAgainCut);  // two refusals in a row cut a pace too far
+// Share of max_open above which messages of the lowest value are refused.
+constexpr double kShedThreshold = 0.9;
+constexpr double kUnknownRate = 0;
+// A destination that holds more than this share of max_open is shed from first.
+constexpr double kMaxHeldShare = 0.5;
+// Queues may drain this much faster than the pace says: two rejections in a row cut it too far.
+constexpr double kDrainRateMargin = 1 / (kLimitCut * kAgainCut);
 
 class Refusals {
  public:
   Refusals(State& state, Messages& messages) : s_(state), messages_(messages) {}
 
-  // Ends what there is no room for, and what has no hope of an answer in time.
-  void settle() {
-    std::set<int> wanted;
+  // Ends the messages that cannot be stored and those that can no longer be answered in time.
+  void end_hopeless() {
+    std::set<int> waiting;
     for (const auto& [id, m] : s_.messages)
-      if (!m.out) wanted.insert(m.destination);
-    for (const int number : wanted)
-      if (const auto d = s_.destinations.find(number); d != s_.destinations.end()) open(d->second);
+      if (!m.out) waiting.insert(m.destination);
+    for (const int destination : waiting)
+      if (const auto d = s_.destinations.find(destination); d != s_.destinations.end())
+        update_open_time(d->second);
     const Destination unlisted;
     for (auto it = s_.messages.begin(); it != s_.messages.end();) {
       const Message& m = (it++)->second;
       if (m.out) continue;
       const auto found = s_.destinations.find(m.destination);
       const Destination& d = found == s_.destinations.end() ? unlisted : found->second;
-      const Time last = messages_.last_start(m, d);
-      if (const Time shut = messages_.shut(m, d); shut > 0) {
-        give_up(m, Reason::kTime, shut);
-      } else if (!m.room || !messages_.may_repeat(m)) {
-        give_up(m, m.room ? Reason::kAttempts : Reason::kRoom);
+      const Time last = messages_.latest_start(m, d);
+      if (const Time delay = messages_.no_route_delay(m, d); delay > 0) {
+        end_message(m, Reason::kDeadline, delay);
+      } else if (!m.storage_available || !messages_.may_repeat(m)) {
+        end_message(m, m.storage_available ? Reason::kNoAttemptsLeft : Reason::kStorageFull);
       } else if (std::max({s_.now, m.not_before, d.open}) >= last) {
-        give_up(m, Reason::kTime);
+        end_message(m, Reason::kDeadline);
       } else {
         s_.wake(last);
       }
     }
   }
 
-  // Gives the least worth back where room is short, first of what a destination holds over its share.
-  void shed(double part) {
-    const auto room = static_cast<size_t>(std::max(1.0, part * s_.set.max_open));
-    if (s_.messages.size() <= room) return;
+  // Refuses messages of the lowest value while more than `threshold` of max_open is held, first those that a
+  // destination holds beyond its own share.
+  void shed_lowest_value(double threshold) {
+    const auto max_held = static_cast<size_t>(std::max(1.0, threshold * s_.set.max_open));
+    if (s_.messages.size() <= max_held) return;
     std::map<int, int> held;
-    std::vector<std::pair<double, uint64_t>> least;
+    std::vector<std::pair<double, uint64_t>> by_value;
     for (const auto& [id, m] : s_.messages) {
       ++held[m.destination];
-      if (!m.out && messages_.refusable(m) && !messages_.untried(m))
-        least.push_back({messages_.worth_at(m, s_.now), id});
+      if (!m.out && messages_.may_refuse(m) && !messages_.owes_attempt(m))
+        by_value.push_back({messages_.value_at(m, s_.now), id});
     }
-    std::sort(least.begin(), least.end());
-    for (const double share : {kOpenShare * static_cast<double>(room), 0.0}) {
-      for (const auto& [worth, id] : least) {
-        if (s_.messages.size() <= room) return;
+    std::sort(by_value.begin(), by_value.end());
+    for (const double share : {kMaxHeldShare * static_cast<double>(max_held), 0.0}) {
+      for (const auto& [value, id] : by_value) {
+        if (s_.messages.size() <= max_held) return;
         const auto it = s_.messages.find(id);
         if (it == s_.messages.end() || held[it->second.destination] <= share) continue;
         --held[it->second.destination];
-        give_up(it->second, Reason::kPlaces);
+        end_message(it->second, Reason::kTooManyMessages);
       }
     }
   }
 
-  // Those that could not go in time even if their queue drained faster than it seems to are told so now.
-  void turn_away(const std::vector<Candidate>& waiting) {
+  // Refuses the messages that could not be sent in time even if their queue drained faster than estimated.
+  void refuse_queue_overflow(const std::vector<Candidate>& waiting) {
     struct Queue {
-      double rate = kUnknown, ahead = 0;
-      Time turn() const { return rate <= kUnknown ? 0 : micros(ahead / rate); }
+      double rate = kUnknownRate, ahead = 0;
+      Time delay() const { return rate <= kUnknownRate ? 0 : micros(ahead / rate); }
     };
     std::map<int, Queue> queues, limits;
     for (const Candidate& c : waiting) {
       const Message& m = s_.messages.at(std::get<uint64_t>(c));
       if (m.out) continue;
       const Destination& d = s_.destinations.at(m.destination);
-      const Queue fresh{kDrainDoubt * drain_rate(d), s_.part_of(d).owed()};
-      Queue& queue = queues.try_emplace(m.destination, fresh).first->second;
-      const int number = messages_.best_way(m, d).limit;
-      const Part& part = s_.limit(number);  // -1: never granted, and so no queue
-      Queue& limit = limits.try_emplace(number, Queue{kDrainDoubt * part.per_s, part.owed()}).first->second;
-      const Time turn = std::max(s_.now, d.open) + std::max(queue.turn(), limit.turn());
-      if (messages_.untried(m) || turn < messages_.last_start(m, d)) {
+      const Queue initial{kDrainRateMargin * drain_rate(d), s_.part_of(d).owed()};
+      Queue& queue = queues.try_emplace(m.destination, initial).first->second;
+      const int limit_id = messages_.best_route(m, d).limit_id;
+      const Part& part = s_.limit(limit_id);  // id -1 has no share, and so no queue
+      Queue& limit =
+          limits.try_emplace(limit_id, Queue{kDrainRateMargin * part.per_s, part.owed()}).first->second;
+      const Time starts_at = std::max(s_.now, d.open) + std::max(queue.delay(), limit.delay());
+      if (messages_.owes_attempt(m) || starts_at < messages_.latest_start(m, d)) {
         ++queue.ahead;
         ++limit.ahead;
       } else {
-        give_up(m, Reason::kQueue, limit.turn());
+        end_message(m, Reason::kQueueTooLong, limit.delay());
       }
     }
   }
 
  private:
-  // When told waits let one of its hosts be called; any time that is over is as good as another.
-  void open(Destination& d) const {
+  // Sets the time at which the retry-after of one of the destination's hosts is over; times in the past are
+  // equivalent.
+  void update_open_time(Destination& d) const {
     d.open = kNever;
     for (const auto& [endpoint, host] : d.hosts) {
       if (host->ready()) d.open = std::min(d.open, host->lane->wait_until);
@@ -101,16 +108,17 @@
     if (d.open == kNever) d.open = 0;
   }
 
-  void give_up(const Message& m, Reason reason, Time wait = 0) {
-    s_.tell(messages_.refusable(m) ? Action{Refuse{m.id, come_again(m, reason, wait), reason}}
-                                   : Action{Fail{m.id}});
-    messages_.end(m, true);
+  void end_message(const Message& m, Reason reason, Time delay = 0) {
+    s_.tell(messages_.may_refuse(m) ? Action{Refuse{m.id, retry_after_for(m, reason, delay), reason}}
+                                    : Action{Fail{m.id}});
+    messages_.remove(m, /*by_module=*/true);
   }
 
-  // Once what waits should be served and a told wait is over, at random; 0: not heard, or its time were over.
-  Time come_again(const Message& m, Reason reason, Time wait) {
+  // The retry-after of a refused message: randomized, not before the queue is served and the endpoints' own
+  // retry-after is over; 0: clients are not sent one, or the message would have expired by then.
+  Time retry_after_for(const Message& m, Reason reason, Time delay) {
     const auto found = s_.destinations.find(m.destination);
-    if (!s_.set.retry_after_heard || found == s_.destinations.end() || wait == kNever) return 0;
+    if (!s_.set.sends_retry_after || found == s_.destinations.end() || delay == kNever) return 0;
     const Destination& d = found->second;
     const auto ahead = std::ranges::count_if(s_.messages, [&m](const auto& other) {
       return other.second.destination == m.destination && !other.second.out;
@@ -119,28 +127,30 @@
     for (const auto& [endpoint, host] : d.hosts) rate = std::max(rate, host->lane->served.per_second(s_.now));
     if (s_.part_of(d).per_s > 0) rate = s_.part_of(d).per_s;
     const Time served = micros(static_cast<double>(ahead) / std::max(rate, 1 / seconds(s_.longest)));
-    const Time crowded = reason == Reason::kPlaces || reason == Reason::kRoom ? kPauseMost : wait;
-    const Time least = std::min(std::max({served, d.open - s_.now, crowded}), s_.set.max_retry_after * 2 / 3);
+    const Time min_wait =
+        reason == Reason::kTooManyMessages || reason == Reason::kStorageFull ? kPauseMost : delay;
+    const Time least =
+        std::min(std::max({served, d.open - s_.now, min_wait}), s_.set.max_retry_after * 2 / 3);
     const Time after = std::min(least + s_.random.between(0, least / 2), s_.set.max_retry_after);
     return s_.now + after < m.due ? after : 0;
   }
 
-  // Calls a second that a queue may drain at, troubles apart: they do not last so long. kUnknown in an
+  // Calls a second at which a queue may drain, without regard to short disturbances. kUnknownRate in an
   // outage.
   double drain_rate(const Destination& d) const {
     double paces = 0;
     for (const auto& [endpoint, host] : d.hosts) {
       const Lane& l = *host->lane;
-      if (l.out_since != 0) return kUnknown;
+      if (l.out_since != 0) return kUnknownRate;
       if (!host->ready() || paces < 0) continue;
-      if (l.own_pace() == 0) paces = -1;  // no limit was met there
+      if (l.own_pace() == 0) paces = -1;  // no limit is known there
       const double pace = std::max(l.pace, l.paced);
       if (l.own_pace() > 0) paces = l.key.second == Endpoint{} ? pace : paces + pace;
     }
     const double part = s_.part_of(d).per_s;
     if (part >= 0) paces = paces > 0 ? std::min(paces, part) : part;
-    if (d.usual.seen == 0) return paces > 0 ? paces : kUnknown;
-    const double slots = s_.set.slots / std::max(1e-6, d.usual.mean);
+    if (d.usual.seen == 0) return paces > 0 ? paces : kUnknownRate;
+    const double slots = s_.set.max_in_flight / std::max(1e-6, d.usual.mean);
     return paces > 0 ? std::min(paces, slots) : slots;
   }
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-// Settings from their text form. Nothing is decided here.
+// Parses settings from their text form.
 #include "firspool/settings.h"
 
 #include <charconv>
@@ -12,19 +12,19 @@
 namespace firspool {
 namespace {
 
-constexpr int kMostEntries = 100000;  // a list longer than this is a mistake in the text
+constexpr int kMaxEntries = 100000;  // of a list; a longer one is taken for a typing error
 
-class Facts {
+class KeyValues {
  public:
-  explicit Facts(std::string_view text) {
+  explicit KeyValues(std::string_view text) {
     while (!text.empty()) {
       const size_t end = text.find('\n');
       std::string_view line = text.substr(0, end);
       text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
       if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-      const size_t equals = line.find('=');
-      if (equals == std::string_view::npos) continue;
-      values_[std::string(line.substr(0, equals))] = std::string(line.substr(equals + 1));
+      const size_t separator = line.find('=');
+      if (separator == std::string_view::npos) continue;
+      values_[std::string(line.substr(0, separator))] = std::string(line.substr(separator + 1));
     }
   }
 
@@ -42,23 +42,23 @@
     return parse(key, text(key));
   }
 
-  int integer(const std::string& key, int least, std::optional<int> fallback = {}) const {
+  int integer(const std::string& key, int min, std::optional<int> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value != std::floor(value) || value < least || value > 1e9) unreadable(key);
+    if (value != std::floor(value) || value < min || value > 1e9) throw_unreadable(key);
     return static_cast<int>(value);
   }
 
-  double within(const std::string& key, double least, double most, double fallback) const {
+  double within(const std::string& key, double min, double max, double fallback) const {
     const double value = number(key, fallback);
-    if (value < least || value > most) unreadable(key);
+    if (value < min || value > max) throw_unreadable(key);
     return value;
   }
 
   Time time(const std::string& key, std::optional<Time> fallback = {}) const {
     if (fallback && !has(key)) return *fallback;
     const double value = number(key);
-    if (value < 0 || value > 1e9) unreadable(key);
+    if (value < 0 || value > 1e9) throw_unreadable(key);
     return std::llround(value * 1e6);
   }
 
@@ -85,11 +85,11 @@
   }
 
   static bool parse_flag(const std::string& key, const std::string& value) {
-    if (value != "true" && value != "false") unreadable(key);
+    if (value != "true" && value != "false") throw_unreadable(key);
     return value == "true";
   }
 
-  [[noreturn]] static void unreadable(const std::string& key) {
+  [[noreturn]] static void throw_unreadable(const std::string& key) {
     throw std::invalid_argument("setting " + key + " is unreadable");
   }
 
@@ -97,79 +97,83 @@
   static double parse(const std::string& key, const std::string& value) {
     double out = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), out);
-    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(out)) unreadable(key);
+    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(out))
+      throw_unreadable(key);
     return out;
   }
 
   std::map<std::string, std::string> values_;
 };
 
-ClassSettings parse_class(const Facts& facts, const std::string& at) {
+ClassSettings parse_class(const KeyValues& values, const std::string& prefix) {
   ClassSettings out;
-  out.name = facts.text(at + "name", "");
-  const std::string effect = facts.text(at + "semantics");
+  out.name = values.text(prefix + "name", "");
+  const std::string effect = values.text(prefix + "semantics");
   if (effect == "safe") {
     out.effect = Effect::kSafe;
   } else if (effect == "keyed") {
     out.effect = Effect::kKeyed;
-    const std::string scope = facts.text(at + "key_scope");
-    if (scope != "all" && scope != "zone" && scope != "cell") Facts::unreadable(at + "key_scope");
+    const std::string scope = values.text(prefix + "key_scope");
+    if (scope != "all" && scope != "zone" && scope != "cell")
+      KeyValues::throw_unreadable(prefix + "key_scope");
     out.key_scope = scope == "all" ? KeyScope::kAll : scope == "zone" ? KeyScope::kZone : KeyScope::kCell;
-    out.key_window = facts.time(at + "key_ttl_s");
+    out.key_window = values.time(prefix + "key_ttl_s");
   } else if (effect != "unsafe") {
-    Facts::unreadable(at + "semantics");
-  }
-  out.in_order = facts.flag(at + "in_order", false);
-  out.target = facts.time(at + "target_s");
-  out.give_up = facts.time(at + "give_up_s");
-  if (out.give_up == 0) Facts::unreadable(at + "give_up_s");
-  out.worth = facts.number(at + "worth", 1.0);
-  out.late_worth = facts.number(at + "late_worth", 0.0);
+    KeyValues::throw_unreadable(prefix + "semantics");
+  }
+  out.in_order = values.flag(prefix + "in_order", false);
+  out.target = values.time(prefix + "target_s");
+  out.time_to_live = values.time(prefix + "give_up_s");
+  if (out.time_to_live == 0) KeyValues::throw_unreadable(prefix + "give_up_s");
+  out.value = values.number(prefix + "worth", 1.0);
+  out.late_value = values.number(prefix + "late_worth", 0.0);
   return out;
 }
 
-void parse_kinds(const Facts& facts, Settings& out) {
-  const auto apart = facts.list("family_info.kind_apart");
-  const auto batch = facts.numbers("family_info.kind_batch");
-  for (const std::string& name : facts.list("kinds")) {
+void parse_kinds(const KeyValues& values, Settings& out) {
+  const auto independent = values.list("family_info.kind_apart");
+  const auto batch = values.numbers("family_info.kind_batch");
+  for (const std::string& name : values.list("kinds")) {
     KindSettings kind;
     kind.name = name;
     const size_t index = out.kinds.size();
-    if (index < apart.size()) kind.apart = Facts::parse_flag("family_info.kind_apart", apart[index]);
+    if (index < independent.size())
+      kind.independent_endpoints = KeyValues::parse_flag("family_info.kind_apart", independent[index]);
     if (index < batch.size()) {
-      if (batch[index] < 1 || batch[index] > kMostEntries) Facts::unreadable("family_info.kind_batch");
+      if (batch[index] < 1 || batch[index] > kMaxEntries)
+        KeyValues::throw_unreadable("family_info.kind_batch");
       kind.batch = static_cast<int>(batch[index]);
     }
     out.kinds.push_back(kind);
   }
 }
 
-void parse_tenants(const Facts& facts, Settings& out) {
-  const int count = facts.integer("realms.count", 0, 0);
-  if (count > kMostEntries) Facts::unreadable("realms.count");
+void parse_tenants(const KeyValues& values, Settings& out) {
+  const int count = values.integer("realms.count", 0, 0);
+  if (count > kMaxEntries) KeyValues::throw_unreadable("realms.count");
   for (int i = 0; i < count; ++i) {
-    const std::string at = "realms." + std::to_string(i) + ".";
-    out.tenants.push_back({facts.text(at + "name", ""), facts.number(at + "quota_per_s", 0.0)});
+    const std::string prefix = "realms." + std::to_string(i) + ".";
+    out.tenants.push_back({values.text(prefix + "name", ""), values.number(prefix + "quota_per_s", 0.0)});
   }
 }
 
-void parse_report(const Facts& facts, Settings& out) {
-  const auto fields = facts.list("telemetry.fields");
+void parse_report(const KeyValues& values, Settings& out) {
+  const auto fields = values.list("telemetry.fields");
   for (size_t i = 0; i < fields.size(); ++i) {
-    if (fields[i] == "x0") out.report_left = static_cast<int>(i);
-    if (fields[i] == "x1") out.report_limit = static_cast<int>(i);
+    if (fields[i] == "x0") out.report_remaining_index = static_cast<int>(i);
+    if (fields[i] == "x1") out.report_limit_index = static_cast<int>(i);
   }
 }
 
-void parse_prices(const Facts& facts, Settings& out) {
-  out.price_cross_zone = facts.number("prices.cross_zone", 0.0);
-  out.price_handshake = facts.number("prices.handshake", 0.0);
-  out.price_waste = facts.number("prices.waste", 0.0);
-  out.price_late_fail = facts.number("prices.late_fail", 0.0);
-  out.price_probe = facts.number("prices.probe", 0.0);
-  out.price_peer = facts.number("prices.peer", 0.0);
-  out.price_refused = facts.number("family_info.refused_price", 0.0);
-  out.zone_fee = facts.numbers("family_info.zone_fee");
+void parse_prices(const KeyValues& values, Settings& out) {
+  out.price_cross_zone = values.number("prices.cross_zone", 0.0);
+  out.price_handshake = values.number("prices.handshake", 0.0);
+  out.price_waste = values.number("prices.waste", 0.0);
+  out.price_late_fail = values.number("prices.late_fail", 0.0);
+  out.price_probe = values.number("prices.probe", 0.0);
+  out.price_peer = values.number("prices.peer", 0.0);
+  out.price_refused = values.number("family_info.refused_price", 0.0);
+  out.zone_fee = values.numbers("family_info.zone_fee");
 }
 
 }  // namespace
@@ -183,47 +187,47 @@
 }
 
 Settings parse_settings(std::string_view text) {
-  const Facts facts(text);
+  const KeyValues values(text);
   Settings out;
-  const int classes = facts.integer("categories.count", 1);
-  if (classes > kMostEntries) Facts::unreadable("categories.count");
+  const int classes = values.integer("categories.count", 1);
+  if (classes > kMaxEntries) KeyValues::throw_unreadable("categories.count");
   for (int i = 0; i < classes; ++i) {
-    out.classes.push_back(parse_class(facts, "categories." + std::to_string(i) + "."));
-  }
-  parse_kinds(facts, out);
-  parse_tenants(facts, out);
-  parse_report(facts, out);
-  parse_prices(facts, out);
-  out.self = facts.integer("me", 0, 0);
-  out.relays = facts.integer("siblings", 1, 1);
-  out.zone = facts.integer("zone", 0, 0);
-  out.slots = facts.integer("family_info.calls_out", 1);
-  out.max_open = facts.integer("bounds.open_cap", 1);
-  out.max_attempts = facts.integer("bounds.max_attempts", 1);
-  out.streams_per_conn = facts.integer("bounds.streams_per_conn", 1, 1);
-  out.may_probe = facts.flag("bounds.may_probe", false);
-  out.may_tell_peers = facts.flag("bounds.peers", false);
-  out.may_cancel = facts.flag("bounds.cancel", false);
-  out.ask_for_list = facts.text("discovery", "push") == "ask";
-  out.retry_after_heard = facts.flag("bounds.retry_after", false);
-  out.late_by_halves = facts.text("family_info.late", "line") == "halves";
-  const std::string weights = facts.text("weights", "silent");
+    out.classes.push_back(parse_class(values, "categories." + std::to_string(i) + "."));
+  }
+  parse_kinds(values, out);
+  parse_tenants(values, out);
+  parse_report(values, out);
+  parse_prices(values, out);
+  out.relay_index = values.integer("me", 0, 0);
+  out.relays = values.integer("siblings", 1, 1);
+  out.zone = values.integer("zone", 0, 0);
+  out.max_in_flight = values.integer("family_info.calls_out", 1);
+  out.max_open = values.integer("bounds.open_cap", 1);
+  out.max_attempts = values.integer("bounds.max_attempts", 1);
+  out.streams_per_conn = values.integer("bounds.streams_per_conn", 1, 1);
+  out.may_probe = values.flag("bounds.may_probe", false);
+  out.may_message_peers = values.flag("bounds.peers", false);
+  out.may_cancel = values.flag("bounds.cancel", false);
+  out.list_on_request = values.text("discovery", "push") == "ask";
+  out.sends_retry_after = values.flag("bounds.retry_after", false);
+  out.exponential_late_value = values.text("family_info.late", "line") == "halves";
+  const std::string weights = values.text("weights", "silent");
   out.weights = weights == "nominal" ? Weights::kNominal
                 : weights == "rough" ? Weights::kRough
                                      : Weights::kNone;
-  out.over_share_worth = facts.within("over_share_worth", 0, 1, 1.0);
-  out.tick = facts.time("resolution_s", 0);
-  out.conn_idle = facts.time("bounds.conn_idle_s", 0);
-  out.connect_timeout = facts.time("bounds.connect_timeout_s", 0);
-  out.max_retry_after = facts.time("bounds.max_retry_after_s", 0);
-  out.answer_slack = facts.time("obligations.answer_slack_s", 0);
-  out.drain_grace = facts.time("obligations.stop_sending_within_s", 0);
-  out.ask_every = facts.time("obligations.ask_every_s", 0);
-  out.order_pause = facts.time("obligations.order_pause_s", 0);
-  out.cold = facts.time("obligations.cold_s", 0);
-  out.fall_window = facts.time("obligations.fall_s", 0);
-  out.fall_multiple = facts.within("obligations.fall_multiple", 0, 1e6, 1.0);
-  out.start_capacity = facts.within("obligations.start_capacity", 0, 1, 1.0);
+  out.over_share_value = values.within("over_share_worth", 0, 1, 1.0);
+  out.tick = values.time("resolution_s", 0);
+  out.conn_idle = values.time("bounds.conn_idle_s", 0);
+  out.connect_timeout = values.time("bounds.connect_timeout_s", 0);
+  out.max_retry_after = values.time("bounds.max_retry_after_s", 0);
+  out.answer_slack = values.time("obligations.answer_slack_s", 0);
+  out.drain_grace = values.time("obligations.stop_sending_within_s", 0);
+  out.list_request_interval = values.time("obligations.ask_every_s", 0);
+  out.order_pause = values.time("obligations.order_pause_s", 0);
+  out.warmup_time = values.time("obligations.cold_s", 0);
+  out.overload_window = values.time("obligations.fall_s", 0);
+  out.overload_factor = values.within("obligations.fall_multiple", 0, 1e6, 1.0);
+  out.warmup_start_capacity = values.within("obligations.start_capacity", 0, 1, 1.0);
   return out;
 }
 
--- a/src/state.h
+++ b/src/state.h
@@ -25,7 +25,7 @@
   double burst = 0;
 
   bool held() const { return per_s >= 0; }
-  void grant(const Granted& e, Time now) {
+  void grant(const ShareGranted& e, Time now) {
     refill(now, std::max(0.0, per_s), burst);  // by the old rate until now
     per_s = e.per_s;
     burst = per_s > 0 ? std::max(1.0, per_s * e.burst_s) : 0;
@@ -46,7 +46,8 @@
   Time idle = 0;                          // how long its connection had been idle; 0: fresh or busy
 };
 
-struct Message : Arrival {  // its attempts, and whether one may have run, are counted on from its arrival
+struct Message
+    : MessageReceived {  // its attempts, and whether one may have run, are counted on from its arrival
   Time target = 0, not_before = 0;  // target: until then it earns its full worth
   double worth = 0;
   bool out = false, withdrawn = false;
@@ -116,7 +117,7 @@
   int kind = 0, calls = 0;
   std::set<std::pair<int, int>> known;  // zones and kinds that were ever listed
   int tokens = kBucketCap;              // in parts
-  DestinationMemory remembered{0, kBucketCap};
+  DestinationSnapshot remembered{0, kBucketCap};
   Latency latency, usual;  // usual: the pace without outliers, against which the slot share narrows
 };
 
@@ -130,13 +131,14 @@
     const auto same = [](const auto& a, const auto& b) { return a.name == b.name; };
     if (!std::ranges::equal(set.tenants, next.tenants, same)) {
       tenant_pacers.clear();
-      std::erase_if(parts, [](const auto& entry) { return entry.first.first == Granted::Of::kTenant; });
+      std::erase_if(parts,
+                    [](const auto& entry) { return entry.first.first == ShareGranted::Scope::kTenant; });
     }
     if (!std::ranges::equal(set.kinds, next.kinds, same)) kinds.clear();
     set = next;
     rules = message_rules(set);
     longest = kSecond;
-    for (const ClassSettings& c : set.classes) longest = std::max(longest, c.give_up);
+    for (const ClassSettings& c : set.classes) longest = std::max(longest, c.time_to_live);
   }
 
   void tell(Action action) { out->push_back(std::move(action)); }
@@ -151,11 +153,13 @@
 
   Lane& lane(const LaneKey& key) {
     const auto [it, fresh] = lanes.try_emplace(key);
-    if (fresh) it->second.part = &parts[{Granted::Of::kDestination, (it->second.key = key).first}];
+    if (fresh) it->second.part = &parts[{ShareGranted::Scope::kDestination, (it->second.key = key).first}];
     return it->second;
   }
-  Part& part_of(const Destination& d) { return parts[{Granted::Of::kDestination, d.remembered.destination}]; }
-  Part& limit(int number) { return parts[{Granted::Of::kLimit, number}]; }
+  Part& part_of(const Destination& d) {
+    return parts[{ShareGranted::Scope::kDestination, d.remembered.destination}];
+  }
+  Part& limit(int number) { return parts[{ShareGranted::Scope::kLimit, number}]; }
   const Latency& latency_of(const Destination& d) {
     return d.latency.seen > 0 ? d.latency : kinds[d.kind].latency;
   }
@@ -173,7 +177,7 @@
   double hope = 2 * kHopeLeast;  // share of the calls past the suspicious age that are served after all
   std::map<int, Kind> kinds;
   std::map<int, Pacer> tenant_pacers;
-  std::map<std::pair<Granted::Of, int>, Part> parts;  // of a tenant's quota only the rate counts
+  std::map<std::pair<ShareGranted::Scope, int>, Part> parts;  // of a tenant's quota only the rate counts
   std::map<uint64_t, Message> messages;
   std::map<std::pair<uint64_t, int>, Attempt> attempts;
   std::map<uint64_t, int> calls;  // calls out, with their messages that have no outcome yet
--- a/tests/access_rules_test.cpp
+++ b/tests/access_rules_test.cpp
@@ -14,7 +14,7 @@
   try {
     (void)parse_rules(settings);
     return "";
-  } catch (const Fault& fault) {
+  } catch (const OperatorError& fault) {
     return fault.code();
   }
 }
@@ -61,7 +61,7 @@
   try {
     (void)parse_rules(settings_with(rules));
     FAIL();
-  } catch (const Fault& fault) {
+  } catch (const OperatorError& fault) {
     EXPECT_STREQ(fault.code(), "rules_shadowed");
     EXPECT_EQ(fault.where(), "settings.realms.0.access.rules.1 (y)");
     EXPECT_NE(fault.line().find("the earlier rule x of acme"), std::string::npos) << fault.line();
@@ -84,10 +84,10 @@
     std::string where;
     try {
       (void)parse_rules(settings_with(rules));
-    } catch (const Fault& fault) {
+    } catch (const OperatorError& fault) {
       ASSERT_STREQ(fault.code(), "rules_shadowed");
       where = fault.where();
-      together += fault.happened().find("together") != std::string::npos;
+      together += fault.description().find("together") != std::string::npos;
     }
     const std::string expected =
         first == rules.size()
--- a/tests/access_verdict_test.cpp
+++ b/tests/access_verdict_test.cpp
@@ -22,7 +22,7 @@
     Rules parsed;
     try {
       parsed = parse_rules(settings_with(rules, otherwise));
-    } catch (const Fault&) {
+    } catch (const OperatorError&) {
       continue;
     }
     Limits limits, others;
@@ -32,13 +32,13 @@
       const size_t rule_at = walk(rules, c, partner, kKinds[kind], kZones[from], kZones[to]);
       const auto verdict = compiled.verdict("acme", c, partner, from);
       const json said = rule_at < rules.size() ? rules[rule_at] : json{{"id", "default"}, {"say", otherwise}};
-      const firspool::Way way = verdict->ways.of(to, kind);
+      const firspool::RouteRule way = verdict->ways.rule_for(to, kind);
       const bool near = said["say"] == "prefer" && names(said, "to", kZones[to]);
       ASSERT_EQ(way.allowed, said["say"] != "deny") << "seed " << seed;
       ASSERT_EQ(way.rank, said["say"] == "prefer" && !near ? 1 : 0) << "seed " << seed;
-      ASSERT_EQ(way.limit >= 0, said["say"] == "limit") << "seed " << seed;
-      if (way.limit >= 0) {
-        EXPECT_EQ(limits.held()[static_cast<size_t>(way.limit)].budget,
+      ASSERT_EQ(way.limit_id >= 0, said["say"] == "limit") << "seed " << seed;
+      if (way.limit_id >= 0) {
+        EXPECT_EQ(limits.held()[static_cast<size_t>(way.limit_id)].budget,
                   "rule/acme/" + said["id"].get<std::string>());
       }
       deciders[{c, {partner, from}}].insert(rule_at);
@@ -84,23 +84,23 @@
   EXPECT_EQ(back->customer, "acme");
   EXPECT_EQ(back->rules, verdict->rules);
   EXPECT_EQ(back->record, verdict->record);
-  EXPECT_FALSE(back->ways.of(0, 0).allowed);  // dc4: not known to the rules
-  EXPECT_FALSE(back->ways.of(2, 0).allowed);  // denied
-  EXPECT_FALSE(back->ways.of(3, 1).allowed);  // tram: not known
-  EXPECT_FALSE(back->ways.of(4, 0).allowed);  // beyond the list
-  const firspool::Way way = back->ways.of(3, 0);
+  EXPECT_FALSE(back->ways.rule_for(0, 0).allowed);  // dc4: not known to the rules
+  EXPECT_FALSE(back->ways.rule_for(2, 0).allowed);  // denied
+  EXPECT_FALSE(back->ways.rule_for(3, 1).allowed);  // tram: not known
+  EXPECT_FALSE(back->ways.rule_for(4, 0).allowed);  // beyond the list
+  const firspool::RouteRule way = back->ways.rule_for(3, 0);
   EXPECT_TRUE(way.allowed);
-  EXPECT_EQ(way.limit, 1);  // 0 is another's here
+  EXPECT_EQ(way.limit_id, 1);  // 0 is another's here
   EXPECT_EQ(fresh.held()[1].budget, "rule/acme/slow");
   EXPECT_EQ(fresh.held()[1].per_s, 3);
   Names same = parsed.names;
   const auto full = unpacked(verdict->record, same, fresh);
-  EXPECT_EQ(full->ways.of(0, 0).rank, 1);
-  EXPECT_EQ(full->ways.of(2, 0).rank, 0);
+  EXPECT_EQ(full->ways.rule_for(0, 0).rank, 1);
+  EXPECT_EQ(full->ways.rule_for(2, 0).rank, 0);
   // Whatever is cut off or put in its place: nothing is allowed that was not.
   std::mt19937 random(1);
   for (size_t cut = 0; cut < verdict->record.size(); ++cut) {
-    EXPECT_TRUE(unpacked(verdict->record.substr(0, cut), same, fresh)->ways.by.empty()) << cut;
+    EXPECT_TRUE(unpacked(verdict->record.substr(0, cut), same, fresh)->ways.rules.empty()) << cut;
   }
 }
 
--- a/tests/ask_times_test.cpp
+++ b/tests/ask_times_test.cpp
@@ -14,11 +14,11 @@
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
-Settings asking(int relays, bool ask_for_list = true) {
+Settings asking(int relays, bool list_on_request = true) {
   Settings out;
   out.relays = relays;
-  out.ask_for_list = ask_for_list;
-  out.ask_every = 10'000'000;
+  out.list_on_request = list_on_request;
+  out.list_request_interval = 10'000'000;
   out.drain_grace = 2'000'000;
   return out;
 }
--- a/tests/budget_link_test.cpp
+++ b/tests/budget_link_test.cpp
@@ -44,7 +44,7 @@
     try {
       parse_fleet(whole, "n0", true);
       ADD_FAILURE() << budgets;
-    } catch (const umberhoist::Fault& fault) {
+    } catch (const umberhoist::OperatorError& fault) {
       EXPECT_EQ(fault.where(), key);
       EXPECT_STREQ(fault.code(), "budget_settings");
     }
@@ -65,10 +65,10 @@
     config.settings.tenants = {{"a", 0}, {"b", 20}};
     config.settings.weights = Weights::kNominal;
     config.settings.kinds = {{"plain", false, 1}, {"apart", true, 1}};
-    config.settings.report_limit = 0;
+    config.settings.report_limit_index = 0;
     config.names = {{"z"}, {"plain", "apart"}};
     BudgetLink::Host host;
-    host.grant = [this](const Granted& part) { parts[{part.of, part.number}] = part.per_s; };
+    host.grant = [this](const ShareGranted& part) { parts[{part.scope, part.id}] = part.per_s; };
     host.waiting = [](const std::function<void(const std::string&)>& each) { each("dest/7"); };
     host.limits = [this] { return limits; };
     link.emplace(io, config, directory, host);
@@ -85,7 +85,7 @@
     }
     link->hear({*directory.apply(all)});
   }
-  double part(Granted::Of of, int number) {
+  double part(ShareGranted::Scope of, int number) {
     const auto it = parts.find({of, number});
     return it == parts.end() ? -2 : it->second;
   }
@@ -93,40 +93,41 @@
   boost::asio::io_context io;
   Config config;
   Directory directory;
-  std::map<std::pair<Granted::Of, int>, double> parts;
+  std::map<std::pair<ShareGranted::Scope, int>, double> parts;
   std::vector<umberhoist::access::Limit> limits;
   std::optional<BudgetLink> link;
 };
 
 TEST_F(BudgetLinkTest, AloneItHasItsFloorOfWhatTheListOrAReportSays) {
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kTenant, 1), 2);
-  EXPECT_EQ(part(Granted::Of::kTenant, 0), -2);  // without a quota there is no whole
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kTenant, 1), 2);
+  EXPECT_EQ(part(ShareGranted::Scope::kTenant, 0), -2);  // without a quota there is no whole
   list(1, {{7, 100}, {8, 2}, {9, 50}});
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 10);
-  EXPECT_EQ(part(Granted::Of::kDestination, 8), 0);   // under a call a term there is no floor
-  EXPECT_EQ(part(Granted::Of::kDestination, 9), -2);  // routes apart have limits of their own
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kDestination, 7), 10);
+  EXPECT_EQ(part(ShareGranted::Scope::kDestination, 8), 0);   // under a call a term there is no floor
+  EXPECT_EQ(part(ShareGranted::Scope::kDestination, 9), -2);  // routes apart have limits of their own
   AttemptEnded end;
   end.endpoint = directory.hosts().begin()->first;
   end.report = {40};
   link->hear({end});
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 4);
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kDestination, 7), 4);
   list(2, {{8, 2}});
-  EXPECT_LT(part(Granted::Of::kDestination, 7), 0);  // not listed: no budget, and the module is told so
+  EXPECT_LT(part(ShareGranted::Scope::kDestination, 7),
+            0);  // not listed: no budget, and the module is told so
   limits = {{3, "rule/a/slow", 30}};
   link->ask(lease_now());
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kLimit, 3), 3);
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kLimit, 3), 3);
   EXPECT_DOUBLE_EQ(link->may("rule/a/slow"), 3);
-  parts.erase({Granted::Of::kTenant, 1});
-  link->hear({Retuned{config.settings}});  // the module begins its tenants anew
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kTenant, 1), 2);
+  parts.erase({ShareGranted::Scope::kTenant, 1});
+  link->hear({SettingsChanged{config.settings}});  // the module begins its tenants anew
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kTenant, 1), 2);
   limits.clear();
   link->ask(lease_now());
-  EXPECT_LT(part(Granted::Of::kLimit, 3), 0);
+  EXPECT_LT(part(ShareGranted::Scope::kLimit, 3), 0);
 }
 
 TEST_F(BudgetLinkTest, ItTellsWhatIsWantedAndTheModuleHearsItsPartUntilTheLeaseIsOver) {
   list(1, {{7, 100}, {8, 2}});
-  Arrival arrival;
+  MessageReceived arrival;
   arrival.destination = 8;
   link->hear({arrival, arrival});
   const fleet::Time now = lease_now();
@@ -135,13 +136,13 @@
   for (const auto& word : told.words) EXPECT_GT(word.per_s, 0);
   const fleet::Part granted{fleet::budget_hash("dest/7"), 35, 100};
   link->took(now, 5, fleet::Parts{0, 1, false, told.number, {granted}}.packed(), now + 200 * fleet::kMs);
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 45);
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kDestination, 7), 45);
   link->took(now, 5, "no parts", now + fleet::kSecond);
   EXPECT_NE(link->lines().find("dest/7 whole=100.0 part=35.0 floor=10.0 demand="), std::string::npos)
       << link->lines();
   EXPECT_NE(link->figures().find("budget_unreadable_total 1\n"), std::string::npos);
   io.run_for(std::chrono::milliseconds(400));  // nothing comes any more: its own timer says so
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 10);
+  EXPECT_DOUBLE_EQ(part(ShareGranted::Scope::kDestination, 7), 10);
 }
 
 }  // namespace
--- a/tests/budget_process.h
+++ b/tests/budget_process.h
@@ -48,7 +48,7 @@
   bool put(const std::string& id, int message_class, Time given) {
     Handed handed{id, rules_[message_class]->name, "k", 1, Budget::begin(machine_.steady(), given), "b",
                   "", rules_[message_class]};
-    Arrival in;
+    MessageReceived in;
     in.id = ++last_;
     in.rules = handed.rules;
     in.due = handed.budget.due();
@@ -65,7 +65,7 @@
     for (auto it = out_.begin(); it != out_.end();) {
       Out& out = *it;
       if (!out.begun && (out.up <= now || out.send.start_by < now)) begin(out);
-      const bool over = out.begun ? out.ends <= now : out.outcome == Outcome::kUnsent;
+      const bool over = out.begun ? out.ends <= now : out.outcome == Outcome::kNotSent;
       if (!over) {
         ++it;
         continue;
@@ -116,15 +116,15 @@
       journal_.done(entry.message.id);
       return;
     }
-    Arrival in;
+    MessageReceived in;
     in.id = ++last_;
     in.rules = entry.message.rules;
     in.due = entry.message.budget.due();
     in.destination = 1;
     in.attempts = entry.attempts;
     if (!entry.unsettled.empty()) {
-      in.ran = true;
-      in.ran_sent = entry.unsettled.begin()->second.first;
+      in.maybe_executed = true;
+      in.maybe_executed_sent_at = entry.unsettled.begin()->second.first;
     }
     held_[last_] = {entry.message, entry.attempts};
     events_.push_back(in);
@@ -136,7 +136,7 @@
     const auto held = held_.find(out.send.id);
     if (held == held_.end() || now > out.send.start_by || held->second.handed.budget.over(now) ||
         !journal_.attempt(out.id, out.attempt, 0)) {
-      out.outcome = Outcome::kUnsent;
+      out.outcome = Outcome::kNotSent;
       if (held != held_.end()) --held->second.attempts;
       return;
     }
@@ -154,7 +154,7 @@
     end.outcome = out.outcome;
     end.final = out.outcome == Outcome::kOk;
     end.took = 50 * kMs;
-    end.wait = out.wait;
+    end.retry_after = out.wait;
     if (held != held_.end()) {
       if (out.begun && out.outcome == Outcome::kFull) journal_.never_ran(out.id, out.attempt);
       if (end.final) over(held, 'd');
--- a/tests/budget_random_test.cpp
+++ b/tests/budget_random_test.cpp
@@ -25,7 +25,7 @@
   settings.classes[2].name = "c2";
   settings.classes[2].effect = Effect::kKeyed;
   settings.classes[2].key_window = 3 * kSecond;
-  settings.slots = 4;
+  settings.max_in_flight = 4;
 
   struct Known {
     Time due = 0;   // by the true time
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -72,7 +72,7 @@
   Machine machine_;
   std::shared_ptr<const MessageRules> rules_ = [] {
     MessageRules rules;
-    rules.give_up = 30 * kSecond;
+    rules.time_to_live = 30 * kSecond;
     return std::make_shared<const MessageRules>(rules);
   }();
 };
--- a/tests/cold_fleet.h
+++ b/tests/cold_fleet.h
@@ -39,20 +39,20 @@
   Settings s = plain_settings();
   s.classes[1].effect = Effect::kSafe;
   s.classes[1].target = kSecond;
-  s.classes[1].give_up = 5 * kSecond;
-  s.self = self;
+  s.classes[1].time_to_live = 5 * kSecond;
+  s.relay_index = self;
   s.relays = scene.relays;
-  s.slots = 40;
+  s.max_in_flight = 40;
   s.max_open = 300;
   s.max_attempts = 8;
-  s.cold = 13 * kSecond;
-  s.fall_window = 1'500'000;
-  s.fall_multiple = 1.5;
-  s.start_capacity = 0.23;
+  s.warmup_time = 13 * kSecond;
+  s.overload_window = 1'500'000;
+  s.overload_factor = 1.5;
+  s.warmup_start_capacity = 0.23;
   if (!scene.told) return s;
   s.weights = Weights::kNominal;
-  s.report_left = 0;
-  s.report_limit = 1;
+  s.report_remaining_index = 0;
+  s.report_limit_index = 1;
   return s;
 }
 
@@ -95,8 +95,8 @@
     std::unique_ptr<Policy> policy;
     int life = 0;
     bool told = false;  // a call of it failed or was refused while the outage lasted
-    std::map<uint64_t, Arrival> held;
-    DestinationMemory memory;
+    std::map<uint64_t, MessageReceived> held;
+    DestinationSnapshot memory;
   };
   using Reached = std::pair<Time, bool>;  // when a call came, and whether its relay had been told
 
@@ -108,8 +108,8 @@
 
   double warmth(Time t, const Settings& s) const {
     if (t < kOut) return 1;
-    const double part = std::min(1.0, static_cast<double>(t - kBack) / static_cast<double>(s.cold));
-    return s.start_capacity + (1 - s.start_capacity) * part;
+    const double part = std::min(1.0, static_cast<double>(t - kBack) / static_cast<double>(s.warmup_time));
+    return s.warmup_start_capacity + (1 - s.warmup_start_capacity) * part;
   }
 
   Event list() const {
@@ -121,11 +121,11 @@
   void arrive(Time at) {
     const double pick = uniform() * parts_.back();
     const int relay = static_cast<int>(std::upper_bound(parts_.begin(), parts_.end(), pick) - parts_.begin());
-    Arrival a;
+    MessageReceived a;
     a.id = ++last_id_;
     a.message_class = static_cast<int>(last_id_ % 2);
     a.destination = 1;
-    a.due = at + relays_[relay].settings.classes[a.message_class].give_up;
+    a.due = at + relays_[relay].settings.classes[a.message_class].time_to_live;
     handed_ += at >= kOut;
     agenda_[tick_after(at)][relay].push_back({-1, a});
   }
@@ -147,7 +147,7 @@
         else if (now >= kOut && sent <= kBack)
           one.told |= now <= kBack;
       }
-      if (const auto* a = std::get_if<Arrival>(&event)) one.held[a->id] = *a;
+      if (const auto* a = std::get_if<MessageReceived>(&event)) one.held[a->id] = *a;
       events.push_back(event);
     }
     if (!one.policy) one.policy = std::make_unique<Policy>(one.settings, random_());
@@ -171,7 +171,7 @@
   void carry_out(Time now, int relay, const Action& action) {
     One& one = relays_[relay];
     if (const auto* send = std::get_if<Send>(&action)) {
-      Arrival& held = one.held.at(send->id);
+      MessageReceived& held = one.held.at(send->id);
       const auto [outcome, took] = call(now, one, send->timeout);
       AttemptEnded e = ended(*send, held.attempts++, outcome, took);
       if (scene_.told && (outcome == Outcome::kOk || outcome == Outcome::kFull))
@@ -183,8 +183,8 @@
       one.held.erase(refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       one.held.erase(fail->id);
-    } else if (const auto* word = std::get_if<Remember>(&action)) {
-      one.memory = word->memory;
+    } else if (const auto* word = std::get_if<SaveSnapshot>(&action)) {
+      one.memory = word->snapshot;
     }
   }
 
@@ -209,15 +209,15 @@
   Tally judge() const {
     Tally out;
     const Settings& s = relays_[0].settings;
-    const double window = static_cast<double>(s.fall_window) / 1e6;
+    const double window = static_cast<double>(s.overload_window) / 1e6;
     size_t cold = 0;
     for (size_t first = 0, end = 0; first < reached_.size(); ++first) {
       const Time from = reached_[first].first;
-      if (from + s.fall_window > kBack + s.cold) break;
+      if (from + s.overload_window > kBack + s.warmup_time) break;
       ++cold;
-      while (end < reached_.size() && reached_[end].first < from + s.fall_window) ++end;
-      const double n = s.fall_multiple * scene_.capacity * window *
-                       (warmth(from, s) + warmth(from + s.fall_window, s)) / 2;
+      while (end < reached_.size() && reached_[end].first < from + s.overload_window) ++end;
+      const double n = s.overload_factor * scene_.capacity * window *
+                       (warmth(from, s) + warmth(from + s.overload_window, s)) / 2;
       const double calls = static_cast<double>(end - first);
       out.over = std::max(out.over, (calls - n) / (2 * std::sqrt(n) + 2));
       out.missed |= calls > n + 2 * std::sqrt(n) + 2;
@@ -227,9 +227,9 @@
       for (size_t i = first; i < end; ++i) told += reached_[i].second;
       out.broken = 3 * told > 2 * (end - first);
     }
-    const double cold_s = static_cast<double>(s.cold) / 1e6;
-    out.used =
-        static_cast<double>(cold) / (s.fall_multiple * scene_.capacity * cold_s * (1 + s.start_capacity) / 2);
+    const double cold_s = static_cast<double>(s.warmup_time) / 1e6;
+    out.used = static_cast<double>(cold) /
+               (s.overload_factor * scene_.capacity * cold_s * (1 + s.warmup_start_capacity) / 2);
     out.served = served_;
     out.handed = handed_;
     return out;
--- a/tests/consumer/relay_example.cpp
+++ b/tests/consumer/relay_example.cpp
@@ -1,4 +1,4 @@
-// A relay in small: one message arrives, is sent, and is delivered.
+// A minimal relay: one message is received and sent to an endpoint.
 #include <cstdio>
 #include <memory>
 #include <variant>
@@ -11,9 +11,9 @@
   settings.classes.resize(1);
   settings.classes[0].effect = firspool::Effect::kSafe;
   settings.classes[0].target = 1'000'000;
-  settings.classes[0].give_up = 4'000'000;
+  settings.classes[0].time_to_live = 4'000'000;
   settings.kinds.resize(1);
-  settings.slots = 4;
+  settings.max_in_flight = 4;
   settings.max_open = 100;
   settings.max_attempts = 3;
 
@@ -22,7 +22,7 @@
   firspool::MembersChanged list;
   list.members = std::make_shared<std::vector<firspool::Member>>(1);  // one endpoint, of destination 0
   events.push_back(list);
-  firspool::Arrival message;
+  firspool::MessageReceived message;
   message.id = 7;
   message.due = 4'000'000;
   events.push_back(message);
@@ -32,7 +32,7 @@
   for (const firspool::Action& action : actions) {
     if (const auto* send = std::get_if<firspool::Send>(&action)) {
       std::printf("send message %llu\n", static_cast<unsigned long long>(send->id));
-      return 0;  // a relay makes the call here, and passes its AttemptEnded to a later step
+      return 0;  // a relay makes the call here and passes its AttemptEnded to a later step
     }
   }
   return 1;
--- a/tests/feeds_cursor_test.cpp
+++ b/tests/feeds_cursor_test.cpp
@@ -17,7 +17,7 @@
   try {
     (void)read_cursor(text, cluster, feed);
     return "";
-  } catch (const Fault& fault) {
+  } catch (const OperatorError& fault) {
     return fault.code();
   }
 }
@@ -133,7 +133,7 @@
     EXPECT_EQ(got.gaps, c.gaps) << c.name;
     EXPECT_EQ(got.missing, c.missing) << c.name;
   }
-  EXPECT_THROW(reconcile("x", kCluster, kFeed, {}, {}), Fault);
+  EXPECT_THROW(reconcile("x", kCluster, kFeed, {}, {}), OperatorError);
 }
 
 TEST(FeedReconcile, OriginsThatLeftGoWhereThereIsNoRoom) {
--- a/tests/feeds_play_test.cpp
+++ b/tests/feeds_play_test.cpp
@@ -145,18 +145,18 @@
   EXPECT_TRUE(std::holds_alternative<json>(ack(0, older)));
   const json newer = open(1);
   const auto refused = ack(0, older);
-  ASSERT_TRUE(std::holds_alternative<Fault>(refused));
-  EXPECT_STREQ(std::get<Fault>(refused).code(), "session_fenced");
+  ASSERT_TRUE(std::holds_alternative<OperatorError>(refused));
+  EXPECT_STREQ(std::get<OperatorError>(refused).code(), "session_fenced");
   EXPECT_TRUE(std::holds_alternative<json>(ack(1, newer)));
   const auto unknown = told([&](auto answer) {
     fleet.service(2).open(fleet.now, {"acme", "x"}, {}, answer);
   });
-  EXPECT_STREQ(std::get<Fault>(unknown).code(), "feed_unknown");
+  EXPECT_STREQ(std::get<OperatorError>(unknown).code(), "feed_unknown");
   const auto elsewhere = ack(2, newer);
-  EXPECT_STREQ(std::get<Fault>(elsewhere).code(), "session_unknown");
+  EXPECT_STREQ(std::get<OperatorError>(elsewhere).code(), "session_unknown");
   json ahead = newer;
   ahead["cursor"] = text_of(Cursor{"c", kFeed, 1, {{{"n1", 99}, 5}}});
-  EXPECT_STREQ(std::get<Fault>(ack(1, ahead)).code(), "acknowledged_ahead");
+  EXPECT_STREQ(std::get<OperatorError>(ack(1, ahead)).code(), "acknowledged_ahead");
 }
 
 }  // namespace
--- a/tests/feeds_relay_test.cpp
+++ b/tests/feeds_relay_test.cpp
@@ -30,7 +30,7 @@
     try {
       (void)parse_feeds(section, settings, fleet, relays, {"dc1", "dc2"});
       return "";
-    } catch (const umberhoist::Fault& fault) {
+    } catch (const umberhoist::OperatorError& fault) {
       return fault.where();
     }
   };
@@ -152,7 +152,7 @@
 TEST(Faults, AreOnThePageOfThoseOnCall) {
   const std::string page = read_file(ON_CALL);
   const auto expect = [&](const auto& kinds) {
-    for (const umberhoist::FaultKind& kind : kinds) {
+    for (const umberhoist::ErrorKind& kind : kinds) {
       const size_t row = page.find(std::string("| `") + kind.code + "` | ");
       ASSERT_NE(row, std::string::npos) << kind.code;
       EXPECT_NE(page.substr(row, page.find('\n', row) - row).find(kind.advice), std::string::npos)
--- a/tests/host_input.cmake
+++ b/tests/host_input.cmake
@@ -1,3 +1,4 @@
+# The simulator's host process (sim/simhost.cpp) on input that ends early or is malformed: exit code and message.
 function(expect input code text)
   file(WRITE ${WORK}/host_input.bin "${input}")
   execute_process(COMMAND ${HOST} INPUT_FILE ${WORK}/host_input.bin
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -146,9 +146,9 @@
   rules.key_window = 15'000'000;
   rules.in_order = true;
   rules.target = 4;
-  rules.give_up = 28;
-  rules.worth = 3.5;
-  rules.late_worth = 0.25;
+  rules.time_to_live = 28;
+  rules.value = 3.5;
+  rules.late_value = 0.25;
   rules.max_attempts = 8;
   Handed with = message("a");
   with.rules = std::make_shared<const MessageRules>(rules);
@@ -162,9 +162,9 @@
   EXPECT_EQ(read.key_window, 15'000'000);
   EXPECT_TRUE(read.in_order);
   EXPECT_EQ(read.target, 4);
-  EXPECT_EQ(read.give_up, 28);
-  EXPECT_EQ(read.worth, 3.5);
-  EXPECT_EQ(read.late_worth, 0.25);
+  EXPECT_EQ(read.time_to_live, 28);
+  EXPECT_EQ(read.value, 3.5);
+  EXPECT_EQ(read.late_value, 0.25);
   EXPECT_EQ(read.max_attempts, 8);
 }
 
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -1,5 +1,5 @@
-// A list of thousands of endpoints under the traffic of one relay: a step looks at what changed, and costs
-// about what it costs under a short list.
+// The cost of a step with a list of thousands of endpoints. It depends on what changed, not on the length of
+// the list: guards against work per listed endpoint in each step.
 #include <time.h>
 
 #include <algorithm>
@@ -14,9 +14,9 @@
 constexpr int kFew = 200;
 constexpr int kMany = 3200;
 constexpr int kSteps = 6000;
-constexpr int kPlays = 5;
-constexpr Time kBetween = 25'000;
-constexpr double kMostTimes = 4;  // for the module alone; sixteen times as many endpoints
+constexpr int kRuns = 5;
+constexpr Time kStepInterval = 25'000;
+constexpr double kMaxCostRatio = 4;  // of kMany to kFew endpoints, for the module alone
 
 double cpu_seconds() {
   timespec now{};
@@ -24,26 +24,26 @@
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-std::vector<Member> listed(int endpoints) {
+std::vector<Member> make_list(int endpoints) {
   std::vector<Member> out;
   for (int i = 0; i < endpoints; ++i) out.push_back(member(static_cast<uint32_t>(i + 1), i % kDestinations));
   return out;
 }
 
-// Seconds for the steps of a relay's day: each brings a message, and the ends of the calls before; now and
-// then an endpoint leaves and another comes.
-double steps_take(int endpoints) {
+// CPU seconds of kSteps steps. Each receives a message and the outcomes of the previous calls; every 50th
+// also replaces an endpoint by another.
+double cost_of_steps(int endpoints) {
   Settings settings = plain_settings();
   settings.price_handshake = 0.03;
-  settings.slots = 64;
+  settings.max_in_flight = 64;
   Policy policy(settings, 1);
   std::vector<Action> actions;
-  policy.step(0, std::vector<Event>{members(listed(endpoints))}, actions);
+  policy.step(0, std::vector<Event>{members(make_list(endpoints))}, actions);
   std::vector<Event> events;
   const double began = cpu_seconds();
   for (int i = 1; i <= kSteps; ++i) {
-    const Time now = i * kBetween;
-    Arrival in;
+    const Time now = i * kStepInterval;
+    MessageReceived in;
     in.id = static_cast<uint64_t>(i);
     in.destination = i % kDestinations;
     in.due = now + 20 * kSecond;
@@ -62,15 +62,15 @@
   return cpu_seconds() - began;
 }
 
-TEST(LargeList, AStepCostsAboutWhatItCostsUnderAShortList) {
-  // The least of several: what else runs on the machine only adds.
-  double few = steps_take(kFew);
-  double many = steps_take(kMany);
-  for (int i = 1; i < kPlays; ++i) {
-    few = std::min(few, steps_take(kFew));
-    many = std::min(many, steps_take(kMany));
+TEST(LargeList, CostOfAStepDoesNotGrowWithTheList) {
+  // The minimum of several runs: other load on the machine only adds to the cost.
+  double few = cost_of_steps(kFew);
+  double many = cost_of_steps(kMany);
+  for (int i = 1; i < kRuns; ++i) {
+    few = std::min(few, cost_of_steps(kFew));
+    many = std::min(many, cost_of_steps(kMany));
   }
-  EXPECT_LT(many, kMostTimes * few) << many << " s, with few endpoints " << few << " s";
+  EXPECT_LT(many, kMaxCostRatio * few) << many << " s, with few endpoints " << few << " s";
 }
 
 }  // namespace
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -66,7 +66,7 @@
 
 TEST(RetryBucket, ServedCallsEarnATenthOfARepeat) {
   Settings s = plain_settings();
-  s.classes[0].give_up = 2 * kSecond;
+  s.classes[0].time_to_live = 2 * kSecond;
   const MembersChanged list = unguarded(s);
   Relay relay(s);
   relay.step(0, {list});
@@ -130,8 +130,8 @@
   s.classes[0].in_order = true;
   s.order_pause = kSecond;
   Relay relay(s);
-  Arrival a = relay.message(1, 0);
-  Arrival b = relay.message(2, 0);
+  MessageReceived a = relay.message(1, 0);
+  MessageReceived b = relay.message(2, 0);
   a.key = b.key = 5;
   const auto first = all_of<Send>(relay.step(0, {members({member(1)}), a, b}));
   ASSERT_EQ(first.size(), 1u);
@@ -145,11 +145,11 @@
   Settings s = plain_settings();
   s.classes[0].in_order = true;
   Relay relay(s);
-  Arrival a = relay.message(1, 0);
-  Arrival b = relay.message(2, 0);
+  MessageReceived a = relay.message(1, 0);
+  MessageReceived b = relay.message(2, 0);
   a.key = b.key = 5;
   const auto first = all_of<Send>(relay.step(0, {members({member(1)}), a, b}));
-  EXPECT_TRUE(all_of<Send>(relay.step(50'000, {Withdrawn{1}})).empty());
+  EXPECT_TRUE(all_of<Send>(relay.step(50'000, {MessageReleased{1}})).empty());
   EXPECT_EQ(all_of<Send>(relay.step(100'000, {ended(first.at(0), 0, Outcome::kError)})).size(), 1u);
 }
 
@@ -176,7 +176,7 @@
   for (const Outcome outcome : {Outcome::kFull, Outcome::kOk}) {
     Relay relay(plain_settings());
     const auto first = all_of<Send>(relay.step(0, {members({member(1)}), relay.message(1, 0)}));
-    Arrival hurried = relay.message(2, 0);
+    MessageReceived hurried = relay.message(2, 0);
     hurried.due = 3 * kSecond;
     const Time wait = outcome == Outcome::kFull ? 4 * kSecond : 0;
     const auto done = relay.step(100'000, {ended(first.at(0), 0, outcome, 100'000, wait), hurried});
@@ -230,7 +230,7 @@
 TEST(Batches, MessagesToOneEndpointShareACall) {
   Settings s = plain_settings();
   s.kinds[0].batch = 5;
-  s.slots = 1;
+  s.max_in_flight = 1;
   Relay relay(s);
   std::vector<Event> events = {members({member(1)})};
   for (uint64_t id = 1; id <= 7; ++id) events.push_back(relay.message(id, 0));
@@ -244,7 +244,7 @@
 TEST(Shedding, TheLeastWorthIsGivenBackWhenRoomRunsOut) {
   Settings s = plain_settings();
   s.max_open = 10;
-  s.classes[1].worth = 5;
+  s.classes[1].value = 5;
   Relay relay(s);
   std::vector<Event> events;
   for (uint64_t id = 1; id <= 10; ++id) events.push_back(relay.message(id, 0, id == 1 ? 1 : 0));
@@ -257,8 +257,8 @@
 TEST(Shedding, AHotDestinationMakesRoomBeforeOthers) {
   Settings s = plain_settings();
   s.max_open = 20;
-  s.slots = 1;
-  s.classes[1].worth = 5;
+  s.max_in_flight = 1;
+  s.classes[1].value = 5;
   Relay relay(s);
   std::vector<Event> events = {members({member(1, 1), member(2, 2)})};
   for (uint64_t id = 1; id <= 4; ++id) events.push_back(relay.message(id, 0, 0, 2));
@@ -267,15 +267,15 @@
   EXPECT_EQ(refused.size(), 12u);
   for (const Refuse& r : refused) {
     EXPECT_GE(r.id, 5u);
-    EXPECT_EQ(r.reason, Reason::kPlaces);
+    EXPECT_EQ(r.reason, Reason::kTooManyMessages);
   }
 }
 
 // Held to the end they would be refused no less, and their clients would hear it late.
 TEST(Queue, WhatCannotGoInItsTimeIsGivenBackAtOnce) {
   Settings s = plain_settings();
-  s.slots = 1;
-  s.retry_after_heard = true;
+  s.max_in_flight = 1;
+  s.sends_retry_after = true;
   s.max_retry_after = 3 * kSecond;
   Relay relay(s);
   relay.step(0, {members({member(1)})});
@@ -289,7 +289,7 @@
   std::vector<Event> events;
   for (uint64_t id = 100; id < 150; ++id) {
     events.push_back(relay.message(id, now));
-    std::get<Arrival>(events.back()).due = now + 4 * kSecond;
+    std::get<MessageReceived>(events.back()).due = now + 4 * kSecond;
   }
   const auto refused = all_of<Refuse>(relay.step(now, events));
   // Two a second go, perhaps nearly six: no more than 24 of 50 can be served in 4 s.
@@ -297,7 +297,7 @@
   EXPECT_LE(refused.size(), 42u);
   std::vector<Time> waits;
   for (const Refuse& r : refused) {
-    EXPECT_EQ(r.reason, Reason::kQueue);
+    EXPECT_EQ(r.reason, Reason::kQueueTooLong);
     EXPECT_LE(r.retry_after, s.max_retry_after);
     waits.push_back(r.retry_after);
   }
@@ -334,7 +334,7 @@
 // A hang: no outcome tells of it, calls only grow old. First attempts are held after a few.
 TEST(Outages, AHangIsSeenByOverdueCalls) {
   Settings s = plain_settings();
-  s.slots = 100;
+  s.max_in_flight = 100;
   Relay relay(s);
   uint64_t id = 0;
   const Time start = warm_up(relay, id);
@@ -348,7 +348,7 @@
 // After an outage the relay's own sends stay under its part of the fail-back budget, queue or not.
 TEST(Outages, AQueueIsNotLetGoAtOnceOnReturn) {
   Settings s = plain_settings();
-  s.slots = 100;
+  s.max_in_flight = 100;
   Relay relay(s);
   uint64_t id = 0;
   const Time start = warm_up(relay, id);  // about five a second
@@ -368,7 +368,7 @@
   }
   ASSERT_FALSE(sent_after_return.empty());
   for (const Time from : sent_after_return) {
-    const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.cold);
+    const double warm = static_cast<double>(from + 3 * kSecond - back) / static_cast<double>(s.warmup_time);
     const double budget =
         2 * (0.25 + 0.75 * std::min(1.0, warm)) * 10 * 3;  // of its own part, ten a second at most
     const auto in_window = std::count_if(sent_after_return.begin(), sent_after_return.end(),
@@ -383,7 +383,7 @@
 // A few lost answers among served calls are not an outage: first attempts go on.
 TEST(Outages, LostAnswersAmongServedCallsHoldNothing) {
   Settings s = plain_settings();
-  s.slots = 100;
+  s.max_in_flight = 100;
   Relay relay(s);
   uint64_t id = 0;
   Time now = warm_up(relay, id);
@@ -417,7 +417,7 @@
 
 TEST(Outages, LostAnswersGiveTheirSlotsBackWhenOthersWait) {
   Settings s = plain_settings();
-  s.slots = 2;
+  s.max_in_flight = 2;
   s.may_cancel = true;
   Relay relay(s);
   uint64_t id = 0;
@@ -431,7 +431,7 @@
 
 TEST(Outages, SlowCallsKeepTheirSlots) {
   Settings s = plain_settings();
-  s.slots = 2;
+  s.max_in_flight = 2;
   s.may_cancel = true;
   Relay relay(s);
   uint64_t id = 0;
@@ -444,7 +444,7 @@
 // scout.
 TEST(Outages, AProbeGoesAheadOfAScout) {
   Settings s = plain_settings();
-  s.slots = 100;
+  s.max_in_flight = 100;
   s.may_probe = true;
   Relay relay(s);
   uint64_t id = 0;
@@ -475,7 +475,7 @@
 // A slow answer to a suspected call ends the suspicion, without a ramp.
 TEST(Outages, SlowCallsEndASuspicion) {
   Settings s = plain_settings();
-  s.slots = 100;
+  s.max_in_flight = 100;
   Relay relay(s);
   uint64_t id = 0;
   Time now = warm_up(relay, id);
@@ -595,8 +595,8 @@
   const auto outages = [](float left) {
     Settings s = plain_settings();
     s.relays = 100;
-    s.report_left = 0;
-    s.report_limit = 1;
+    s.report_remaining_index = 0;
+    s.report_limit_index = 1;
     Relay relay(s);
     relay.step(0, {members({member(1)})});
     size_t logs = 0;
@@ -645,10 +645,10 @@
 struct Steered {
   explicit Steered(float weight = 200) : settings(plain_settings()) {
     settings.relays = 100;
-    settings.report_left = 0;
-    settings.report_limit = 1;
+    settings.report_remaining_index = 0;
+    settings.report_limit_index = 1;
     settings.weights = Weights::kNominal;
-    settings.slots = 100;
+    settings.max_in_flight = 100;
     relay.emplace(settings);
     Member m = member(1);
     m.weight = weight;
@@ -807,8 +807,8 @@
 
 TEST(List, AskingIsRenewedAfterAFailure) {
   Settings s = plain_settings();
-  s.ask_for_list = true;
-  s.ask_every = 10 * kSecond;
+  s.list_on_request = true;
+  s.list_request_interval = 10 * kSecond;
   Relay relay(s);
   EXPECT_EQ(all_of<WatchList>(relay.step(0, {members({member(1)})})).size(), 1u);
   MembersChanged failed;
@@ -822,14 +822,14 @@
 // A policy that has just been started anew and is told of one message from before.
 std::vector<Action> resumed(const Settings& s, int message_class, int attempts, bool ran, Time since) {
   Policy policy(s, 1);
-  Arrival in;
+  MessageReceived in;
   in.id = 1;
   in.message_class = message_class;
   in.destination = 1;
-  in.due = 100 * kSecond + s.classes[message_class].give_up / 2;
+  in.due = 100 * kSecond + s.classes[message_class].time_to_live / 2;
   in.attempts = attempts;
-  in.ran = ran;
-  in.ran_sent = 100 * kSecond - since;
+  in.maybe_executed = ran;
+  in.maybe_executed_sent_at = 100 * kSecond - since;
   std::vector<Action> actions;
   policy.step(100 * kSecond, std::vector<Event>{members({member(1)}), in}, actions);
   return actions;
@@ -850,7 +850,7 @@
 
 TEST(Restart, AttemptNumbersGoOn) {
   Relay relay(plain_settings());
-  Arrival in = relay.message(1, 0);
+  MessageReceived in = relay.message(1, 0);
   in.attempts = 2;
   const auto sends = all_of<Send>(relay.step(0, {members({member(1)}), in}));
   ASSERT_EQ(sends.size(), 1u);
@@ -862,7 +862,7 @@
 // Without it a restarted relay would send all that it resumed at once to a destination that is down or cold.
 TEST(Restart, OutagesAndBucketsAreRemembered) {
   const Settings s = plain_settings();
-  DestinationMemory last;
+  DestinationSnapshot last;
   Policy before(s, 1);
   std::vector<Action> actions;
   before.step(0, std::vector<Event>{members({member(1)})}, actions);
@@ -874,9 +874,9 @@
     std::vector<Event> failed;
     for (const Send& send : all_of<Send>(actions)) failed.push_back(ended(send, 0, Outcome::kConnectFailed));
     before.step(now + 1000, failed, actions);
-    for (const Remember& word : all_of<Remember>(actions)) last = word.memory;
+    for (const SaveSnapshot& word : all_of<SaveSnapshot>(actions)) last = word.snapshot;
   }
-  EXPECT_NE(last.out_since, 0);
+  EXPECT_NE(last.outage_since, 0);
   const auto sends = [&](std::vector<Event> events) {
     Policy after(s, 2);
     events.insert(events.begin(), members({member(1)}));
@@ -892,13 +892,13 @@
 TEST(Restart, ABucketSpentStaysSpent) {
   const Settings s = plain_settings();
   Policy policy(s, 1);
-  Arrival in;
+  MessageReceived in;
   in.id = 1;
   in.destination = 1;
   in.due = 20 * kSecond;
   in.attempts = 1;
   std::vector<Action> actions;
-  policy.step(0, std::vector<Event>{members({member(1)}), DestinationMemory{1, 0}, in}, actions);
+  policy.step(0, std::vector<Event>{members({member(1)}), DestinationSnapshot{1, 0}, in}, actions);
   EXPECT_TRUE(all_of<Send>(actions).empty());
 }
 
@@ -914,7 +914,7 @@
 
 TEST(Restart, NoCallStartsThatMayNotBeOverBeforeTheEnd) {
   Relay relay(plain_settings());
-  relay.step(0, {members({member(1)}), Closing{4 * kSecond}});
+  relay.step(0, {members({member(1)}), ShuttingDown{4 * kSecond}});
   EXPECT_EQ(all_of<Send>(relay.step(kSecond, {relay.message(1, kSecond)})).size(), 1u);
   EXPECT_TRUE(all_of<Send>(relay.step(3'900'000, {relay.message(2, 3'900'000)})).empty());
 }
@@ -932,8 +932,8 @@
       relay_.step(now + 400'000, {ended(sends.at(0), 0, Outcome::kOk, 400'000)});
     }
   }
-  Arrival hurried(uint64_t id, Time now, Time left) const {
-    Arrival out = relay_.message(id, now);
+  MessageReceived hurried(uint64_t id, Time now, Time left) const {
+    MessageReceived out = relay_.message(id, now);
     out.due = now + left;
     return out;
   }
@@ -959,7 +959,8 @@
   EXPECT_GT(sends[0].start_by, now);
   EXPECT_LT(sends[0].start_by, now + 800'000);
   // It did not start: the answer is given at once and not at the end.
-  EXPECT_EQ(all_of<Refuse>(relay_.step(now + 700'000, {ended(sends[0], 0, Outcome::kMoot, 700'000)})).size(),
+  EXPECT_EQ(all_of<Refuse>(relay_.step(now + 700'000, {ended(sends[0], 0, Outcome::kNotForwarded, 700'000)}))
+                .size(),
             1u);
 }
 
@@ -990,7 +991,7 @@
   const Settings s = plain_settings();
   Policy policy(s, 1);
   std::vector<Action> actions;
-  Arrival arrival;
+  MessageReceived arrival;
   arrival.id = 3;
   arrival.due = 20 * kSecond;
   policy.step(kSecond, std::vector<Event>{arrival}, actions);
@@ -1004,7 +1005,7 @@
 
 TEST(WrongUse, WhatIsNotHeldIsPassedOver) {
   Relay relay(plain_settings());
-  relay.step(0, {members({member(1)}), Withdrawn{99}, TimerFired{5}, PeerNote{1, "x"},
+  relay.step(0, {members({member(1)}), MessageReleased{99}, TimerFired{5}, PeerMessage{1, "x"},
                  ended(Send{98, {1, 80}, 0}, 0, Outcome::kOk), ProbeEnded{{9, 9}, true, 0, {}}});
 }
 
@@ -1017,7 +1018,7 @@
     Time now = 0;
     for (const Outcome outcome : {Outcome::kReset, between, Outcome::kReset}) {
       now += kSecond / 2;
-      const Arrival message = relay.message(static_cast<uint64_t>(now), now, 1);
+      const MessageReceived message = relay.message(static_cast<uint64_t>(now), now, 1);
       for (const Send& send : all_of<Send>(relay.step(now, {message}))) {
         if (send.id != message.id) continue;
         const Time wait = outcome == Outcome::kFull ? 1000 : 0;
@@ -1052,7 +1053,7 @@
   for (const bool heard : {true, false}) {
     Settings settings = plain_settings();
     settings.max_attempts = 1;
-    settings.retry_after_heard = heard;
+    settings.sends_retry_after = heard;
     settings.max_retry_after = 3 * kSecond;
     Relay relay(settings);
     relay.step(0, {members({member(1)})});
@@ -1069,7 +1070,7 @@
 TEST(Upgrade, HeedsAWaitThatAnotherProcessWasTold) {
   Relay relay(plain_settings());
   const Time t = 100 * kSecond;
-  const Event wait = WaitTold{1, {}, t + kSecond};
+  const Event wait = RetryAfterReceived{1, {}, t + kSecond};
   auto done = relay.step(t, {members({member(1)}), wait, relay.message(1, t)});
   EXPECT_TRUE(all_of<Send>(done).empty());
   EXPECT_TRUE(all_of<Send>(relay.idle(t + 1, t + kSecond - 1)).empty());
@@ -1080,9 +1081,9 @@
 TEST(Upgrade, ARepeatTakenOverWaitsItsPause) {
   Relay relay(plain_settings());
   const Time t = 100 * kSecond;
-  Arrival in = relay.message(1, t);
+  MessageReceived in = relay.message(1, t);
   in.attempts = 1;
-  in.pause = true;
+  in.needs_backoff = true;
   EXPECT_TRUE(all_of<Send>(relay.step(t, {members({member(1)}), in})).empty());
   EXPECT_EQ(all_of<Send>(relay.idle(t, t + kSecond)).size(), 1u);
 }
@@ -1101,7 +1102,7 @@
     policy.step(t, events, done);
   };
   const auto arrival = [&](uint64_t id) {
-    Arrival in;
+    MessageReceived in;
     in.id = id;
     in.destination = 1;
     in.due = t + 20 * kSecond;
@@ -1109,7 +1110,7 @@
   };
   step({members({member(1)}), arrival(1)});
   const Send first = all_of<Send>(done).at(0);
-  step({Retuned{next}, arrival(2)});
+  step({SettingsChanged{next}, arrival(2)});
   const Send second = all_of<Send>(done).at(0);
   t += 100'000;
   step({ended(first, 0, Outcome::kError), ended(second, 0, Outcome::kError)});
