--- a/tests/policy_ways_test.cpp
+++ b/tests/policy_ways_test.cpp
@@ -8,12 +8,12 @@
 namespace firspool::testing {
 namespace {
 
-constexpr Way kNo{false, 0, -1}, kYes{true, 0, -1}, kNext{true, 1, -1}, kLimited{true, 0, 3};
+constexpr RouteRule kNo{false, 0, -1}, kYes{true, 0, -1}, kNext{true, 1, -1}, kLimited{true, 0, 3};
 
-std::shared_ptr<const Ways> ways(std::vector<Way> zones) {  // alike for both kinds
-  Ways out{2, {}};
-  for (const Way& way : zones) out.by.insert(out.by.end(), {way, way});
-  return std::make_shared<const Ways>(out);
+std::shared_ptr<const RouteTable> ways(std::vector<RouteRule> zones) {  // alike for both kinds
+  RouteTable out{2, {}};
+  for (const RouteRule& way : zones) out.rules.insert(out.rules.end(), {way, way});
+  return std::make_shared<const RouteTable>(out);
 }
 
 Member at(uint32_t address, int zone, int kind = 0, Listing listing = Listing::kReady) {
@@ -22,19 +22,20 @@
   return m;
 }
 
-Arrival message(const Relay& relay, uint64_t id, Time now, std::vector<Way> zones, int destination = 1) {
-  Arrival a = relay.message(id, now, 0, destination);
-  a.ways = ways(std::move(zones));
+MessageReceived message(const Relay& relay, uint64_t id, Time now, std::vector<RouteRule> zones,
+                        int destination = 1) {
+  MessageReceived a = relay.message(id, now, 0, destination);
+  a.routes = ways(std::move(zones));
   return a;
 }
 
-Granted part(double per_s, Granted::Of of = Granted::Of::kDestination, int number = 1) {
+ShareGranted part(double per_s, ShareGranted::Scope of = ShareGranted::Scope::kDestination, int number = 1) {
   return {of, number, per_s, 1};
 }
 
 Settings heard() {
   Settings s = plain_settings();
-  s.retry_after_heard = true;
+  s.sends_retry_after = true;
   s.max_retry_after = 10 * kSecond;
   return s;
 }
@@ -66,7 +67,7 @@
 
 TEST(Ways, ABetterOneIsWaitedForUnlessItCannotBeTaken) {
   Relay relay(plain_settings());
-  const std::vector<Way> zones = {kNext, kYes};
+  const std::vector<RouteRule> zones = {kNext, kYes};
   const auto first =
       all_of<Send>(relay.step(0, {members({at(1, 0, 1), at(2, 1, 1)}), message(relay, 1, 0, zones)}));
   ASSERT_EQ(first.at(0).endpoint.address, 2u);  // although it is the other zone's
@@ -135,20 +136,20 @@
     std::vector<Member> list;
     for (uint32_t i = 0; i < 6; ++i)
       list.push_back({{i, 80}, Listing::kReady, static_cast<int>(i % 3), below(2), 1 + below(2), 1});
-    const std::vector<Way> choice = {kNo, kYes, kNext, kLimited};
+    const std::vector<RouteRule> choice = {kNo, kYes, kNext, kLimited};
     std::multimap<Time, Event> due;
     due.emplace(0, members(list));
-    std::map<uint64_t, Arrival> sent;
+    std::map<uint64_t, MessageReceived> sent;
     std::map<uint64_t, int> attempts;
     std::vector<Time> to_first, limited;
     for (Time now = 0; now < 60 * kSecond; now += 10'000 + below(20'000)) {
       if (below(40) == 0) {
         due.emplace(now, part(whole));  // again and again, as leases are renewed
-        due.emplace(now, part(limit, Granted::Of::kLimit, 3));
+        due.emplace(now, part(limit, ShareGranted::Scope::kLimit, 3));
       }
       if (below(4) == 0) {
         const uint64_t id = sent.size() + 1;
-        const Arrival a =
+        const MessageReceived a =
             message(relay, id, now, {choice[below(4)], choice[below(4)], choice[below(4)]}, 1 + below(2));
         due.emplace(now, sent[id] = a);
       }
@@ -157,9 +158,9 @@
         events.push_back(due.begin()->second);
       for (const Send& send : all_of<Send>(relay.step(now, events))) {
         const Member& m = list[send.endpoint.address];
-        const Way way = sent[send.id].ways->of(m.zone, m.kind);
+        const RouteRule way = sent[send.id].routes->rule_for(m.zone, m.kind);
         EXPECT_TRUE(way.allowed);
-        if (way.limit >= 0) limited.push_back(now);
+        if (way.limit_id >= 0) limited.push_back(now);
         if (m.destination == 1 && now > 5 * kSecond) to_first.push_back(now);
         const int answer = below(10);
         due.emplace(now + 50'000 + below(400'000),
@@ -184,7 +185,7 @@
 TEST(Parts, ASmallerOneTakesWhatWasSavedUp) {
   for (const double next : {10.0, 3.0, 0.0, -1.0}) {
     Settings s = plain_settings();
-    s.slots = 50;
+    s.max_in_flight = 50;
     Relay relay(s);
     std::vector<Event> events = {part(next)};
     relay.step(0, {members({member(1)}), part(10)});
@@ -198,7 +199,7 @@
 TEST(Parts, AMessageGoesWhenItsTokenIsThere) {
   for (const bool limit : {false, true}) {
     Relay relay(heard());
-    const auto granted = [&](double r) { return limit ? part(r, Granted::Of::kLimit, 3) : part(r); };
+    const auto granted = [&](double r) { return limit ? part(r, ShareGranted::Scope::kLimit, 3) : part(r); };
     std::vector<Event> events = {members({member(1)}), message(relay, 1, 0, {limit ? kLimited : kYes})};
     if (!limit) events.push_back(granted(0));  // a limit of which nothing was granted is none
     EXPECT_TRUE(all_of<Send>(relay.step(0, events)).empty());
@@ -219,28 +220,29 @@
 TEST(Parts, TheDoorSeesThem) {
   for (const bool limit : {false, true}) {
     Settings s = heard();
-    s.classes[0].give_up = 6 * kSecond;
+    s.classes[0].time_to_live = 6 * kSecond;
     Relay relay(s);
-    std::vector<Event> events = {members({member(1)}), limit ? part(0.5, Granted::Of::kLimit, 3) : part(0.5)};
+    std::vector<Event> events = {members({member(1)}),
+                                 limit ? part(0.5, ShareGranted::Scope::kLimit, 3) : part(0.5)};
     for (uint64_t id = 1; id <= 30; ++id) events.push_back(message(relay, id, 0, {limit ? kLimited : kYes}));
     const auto refused = all_of<Refuse>(relay.step(0, events));
     EXPECT_GT(refused.size(), 15u);
     EXPECT_LT(refused.size(), 28u);
-    for (const Refuse& r : refused) EXPECT_EQ(r.reason, Reason::kQueue);
+    for (const Refuse& r : refused) EXPECT_EQ(r.reason, Reason::kQueueTooLong);
   }
 }
 
 TEST(Parts, ATenantsTakesThePlaceOfItsQuotasEvenPart) {
   for (const double granted : {-1.0, 0.0, 5.0}) {
     Settings s = plain_settings();
-    s.slots = 1, s.relays = 10;
-    s.over_share_worth = 0.2;
+    s.max_in_flight = 1, s.relays = 10;
+    s.over_share_value = 0.2;
     s.tenants = {{"one", 20}};
     Relay relay(s);
-    Arrival ours = relay.message(1, 0), other = relay.message(2, 0);
+    MessageReceived ours = relay.message(1, 0), other = relay.message(2, 0);
     other.tenant = -1;
     const auto sends = all_of<Send>(
-        relay.step(0, {members({member(1)}), part(granted, Granted::Of::kTenant, 0), ours, other}));
+        relay.step(0, {members({member(1)}), part(granted, ShareGranted::Scope::kTenant, 0), ours, other}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].id, granted == 0 ? 2u : 1u);
   }
--- a/tests/program_crossing_test.cpp
+++ b/tests/program_crossing_test.cpp
@@ -180,7 +180,7 @@
   rules.name = "safe";
   rules.effect = Effect::kSafe;
   rules.max_attempts = 6;
-  rules.give_up = 60'000'000;
+  rules.time_to_live = 60'000'000;
   size_t held = 0;
   {
     relay::Journal journal(std::move(*relay::Place::take(program.state(), 0)), 1'400'000);
--- a/tests/program_kill_test.cpp
+++ b/tests/program_kill_test.cpp
@@ -25,9 +25,9 @@
     rules.key_window = 20'000'000;
     rules.max_attempts = 6;
     rules.target = 2'000'000;
-    rules.give_up = 60'000'000;
-    rules.worth = 1;
-    rules.late_worth = 0.3;
+    rules.time_to_live = 60'000'000;
+    rules.value = 1;
+    rules.late_value = 0.3;
   }
   // A for accepted, T an attempt, N the last one never ran, O a notice is owed, D done; < all after it just
   // now, what was before long ago.
--- a/tests/relay.h
+++ b/tests/relay.h
@@ -19,14 +19,14 @@
   explicit Relay(const Settings& settings, uint64_t seed = 1)
       : settings_(settings), policy_(settings, seed), checker_(settings) {}
   ~Relay() {
-    for (const std::string& fault : checker_.faults()) ADD_FAILURE() << fault;
+    for (const std::string& fault : checker_.violations()) ADD_FAILURE() << fault;
   }
 
   std::vector<Action> step(Time now, const std::vector<Event>& events) {
-    checker_.before(now, events);
+    checker_.before_step(now, events);
     std::vector<Action> actions;
     policy_.step(now, events, actions);
-    checker_.after(now, actions);
+    checker_.after_step(now, actions);
     return actions;
   }
 
@@ -39,16 +39,16 @@
     return all;
   }
 
-  Arrival message(uint64_t id, Time now, int message_class = 0, int destination = 1) const {
-    Arrival out;
+  MessageReceived message(uint64_t id, Time now, int message_class = 0, int destination = 1) const {
+    MessageReceived out;
     out.id = id;
     out.message_class = message_class;
     out.destination = destination;
-    out.due = now + settings_.classes[message_class].give_up;
+    out.due = now + settings_.classes[message_class].time_to_live;
     return out;
   }
 
-  size_t owed() const { return checker_.owed(); }
+  size_t owed() const { return checker_.unanswered(); }
 
  private:
   Settings settings_;
@@ -64,21 +64,21 @@
   s.classes[1].effect = Effect::kUnsafe;
   for (ClassSettings& c : s.classes) {
     c.target = 2 * kSecond;
-    c.give_up = 20 * kSecond;
-    c.late_worth = 0.3;
+    c.time_to_live = 20 * kSecond;
+    c.late_value = 0.3;
   }
   s.kinds.resize(2);
-  s.kinds[1].apart = true;
-  s.slots = 8;
+  s.kinds[1].independent_endpoints = true;
+  s.max_in_flight = 8;
   s.max_open = 200;
   s.max_attempts = 6;
   s.tick = 5000;
   s.answer_slack = 20'000;
   s.drain_grace = kSecond;
-  s.cold = 10 * kSecond;
-  s.fall_window = 3 * kSecond;
-  s.fall_multiple = 2;
-  s.start_capacity = 0.25;
+  s.warmup_time = 10 * kSecond;
+  s.overload_window = 3 * kSecond;
+  s.overload_factor = 2;
+  s.warmup_start_capacity = 0.25;
   s.conn_idle = 10 * kSecond;
   return s;
 }
@@ -109,7 +109,7 @@
   out.outcome = outcome;
   out.final = outcome == Outcome::kOk;
   out.took = took;
-  out.wait = wait;
+  out.retry_after = wait;
   return out;
 }
 
--- a/tests/resumed_test.cpp
+++ b/tests/resumed_test.cpp
@@ -10,14 +10,14 @@
 TEST(Resumed, UntriedOnesAreNotGivenUpForNewOnes) {
   Settings s = plain_settings();
   s.classes[1].effect = Effect::kSafe;
-  s.classes[1].worth = 10;
+  s.classes[1].value = 10;
   s.max_open = 20;
-  s.slots = 2;
+  s.max_in_flight = 2;
   Relay relay(s);
   std::vector<Event> events = {members({member(1)})};
   std::set<uint64_t> untried;
   for (uint64_t id = 1; id <= 18; ++id) {
-    Arrival a = relay.message(id, 0);
+    MessageReceived a = relay.message(id, 0);
     a.resumed = true;
     events.push_back(a);
     untried.insert(id);
@@ -46,15 +46,15 @@
   Settings s = plain_settings();
   s.relays = 300;
   s.weights = Weights::kNominal;
-  s.report_left = 0;
-  s.report_limit = 1;
+  s.report_remaining_index = 0;
+  s.report_limit_index = 1;
   Relay relay(s);
   Member m = member(1);
   m.weight = 40;
   std::vector<Event> events = {members({m})};
   for (uint64_t id = 1; id <= 40; ++id) {
     events.push_back(relay.message(id, 0));
-    std::get<Arrival>(events.back()).resumed = true;
+    std::get<MessageReceived>(events.back()).resumed = true;
   }
   EXPECT_TRUE(all_of<Refuse>(relay.step(0, events)).empty());
   EXPECT_TRUE(all_of<Refuse>(relay.idle(100'000, 18 * kSecond)).empty());
--- a/tests/upstream_connecting_test.cpp
+++ b/tests/upstream_connecting_test.cpp
@@ -83,7 +83,7 @@
   may_start_ = false;
   begin();
   Socket host = listener_.accept();
-  EXPECT_EQ(end().outcome, Outcome::kUnsent);
+  EXPECT_EQ(end().outcome, Outcome::kNotSent);
   EXPECT_FALSE(began_);
   EXPECT_EQ(upstream_.idle(), 1u);
   upstream_.close_all_idle();
--- a/tests/upstream_outcomes_test.cpp
+++ b/tests/upstream_outcomes_test.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 TEST(AttemptEnd, SaysWhetherTheMessageHasRun) {
-  EXPECT_EQ(ran_after(Outcome::kOk), Ran::kDone);
-  for (const Outcome never : {Outcome::kFull, Outcome::kConnectFailed, Outcome::kMoot}) {
-    EXPECT_EQ(ran_after(never), Ran::kNever) << static_cast<int>(never);
+  EXPECT_EQ(execution_after(Outcome::kOk), Execution::kDone);
+  for (const Outcome never : {Outcome::kFull, Outcome::kConnectFailed, Outcome::kNotForwarded}) {
+    EXPECT_EQ(execution_after(never), Execution::kNever) << static_cast<int>(never);
   }
   for (const Outcome maybe : {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled}) {
-    EXPECT_EQ(ran_after(maybe), Ran::kMaybe) << static_cast<int>(maybe);
+    EXPECT_EQ(execution_after(maybe), Execution::kMaybe) << static_cast<int>(maybe);
   }
 }
 
@@ -40,8 +40,8 @@
     EXPECT_EQ(outcome_of(kReadingBody, how, true), Outcome::kOk);
     EXPECT_EQ(outcome_of(kReadingBody, how, false), Outcome::kReset);
   }
-  EXPECT_EQ(outcome_of(kConnecting, Break::kOwnWant, false), Outcome::kUnsent);
-  EXPECT_EQ(outcome_of(kWriting, Break::kOwnWant, false), Outcome::kUnsent);
+  EXPECT_EQ(outcome_of(kConnecting, Break::kOwnWant, false), Outcome::kNotSent);
+  EXPECT_EQ(outcome_of(kWriting, Break::kOwnWant, false), Outcome::kNotSent);
   EXPECT_EQ(outcome_of(kAwaitingHead, Break::kOwnWant, false), Outcome::kReset);
   EXPECT_EQ(outcome_of(kAwaitingHead, Break::kConnection, false), Outcome::kReset);
   EXPECT_EQ(outcome_of(kAwaitingHead, Break::kTimeout, false), Outcome::kTimeout);
--- a/tests/upstream_own_test.cpp
+++ b/tests/upstream_own_test.cpp
@@ -36,7 +36,7 @@
   {
     const NoDescriptors none;
     begin();
-    EXPECT_EQ(end().outcome, Outcome::kUnsent);
+    EXPECT_EQ(end().outcome, Outcome::kNotSent);
   }
   EXPECT_FALSE(asked_);
   called();  // the next call finds one
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -73,12 +73,12 @@
   EXPECT_EQ(call(answering("500")).outcome, Outcome::kError);
   const AttemptEnded told = call(answering("429", "Retry-After: 1.25\r\n"));
   EXPECT_EQ(told.outcome, Outcome::kFull);
-  EXPECT_EQ(told.wait, 1'250'000);
+  EXPECT_EQ(told.retry_after, 1'250'000);
   EXPECT_EQ(call(answering("503")).outcome, Outcome::kFull);
-  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kMoot);
+  EXPECT_EQ(call(answering("503", "X-Egress-Full: 1\r\n")).outcome, Outcome::kNotForwarded);
   EXPECT_FALSE(call(answering("504")).final);
   const AttemptEnded over = call(answering("410"));
-  EXPECT_EQ(over.outcome, Outcome::kMoot);
+  EXPECT_EQ(over.outcome, Outcome::kNotForwarded);
   EXPECT_TRUE(over.final);
   EXPECT_EQ(host_.connections(), 1);  // all on one connection
 }
@@ -136,7 +136,7 @@
 // The host drained, or its destination told another call to wait, while this one's connection came up.
 TEST_F(UpstreamTest, LooksOnceMoreBeforeTheFirstByte) {
   may_start_ = false;
-  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kUnsent);
+  EXPECT_EQ(call_to(host_.port(), 1'000'000).outcome, Outcome::kNotSent);
   EXPECT_FALSE(began_);
   may_start_ = true;
   EXPECT_EQ(call(answering("200")).outcome, Outcome::kOk);
@@ -183,11 +183,11 @@
 TEST_F(UpstreamTest, AConnectThatEatsTheAnswersTimeSaysNothingOfTheHost) {
   SlowToAccept slow;
   start_by_ = steady_now() + 50'000;
-  EXPECT_EQ(call_to(slow.port(), 20'000'000).outcome, Outcome::kUnsent);
+  EXPECT_EQ(call_to(slow.port(), 20'000'000).outcome, Outcome::kNotSent);
   EXPECT_FALSE(began_);
   start_by_ = std::numeric_limits<Time>::max();
   budget_ = Budget::until(steady_now() + 50'000);
-  EXPECT_EQ(call_to(slow.port(), 20'000'000).outcome, Outcome::kUnsent);
+  EXPECT_EQ(call_to(slow.port(), 20'000'000).outcome, Outcome::kNotSent);
   budget_ = Budget::until(steady_now() + 20'000'000);
   EXPECT_EQ(call_to(slow.port(), 20'000'000).outcome, Outcome::kConnectFailed);
 }
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -142,7 +142,7 @@
 // Where lists have to be asked for, a discovery that takes 1.2 s over each answer is heard in the end.
 TEST_F(WatchTest, HearsADiscoveryThatAnswersEachAskLate) {
   Settings settings;
-  settings.ask_for_list = true;
+  settings.list_on_request = true;
   open(settings);
   for (int asks = 0; asks < 6 && lists_.empty(); ++asks) {
     Socket agent = asked();
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -58,17 +58,17 @@
                              "06 000a0de90e6f2b19");
   ASSERT_EQ(events.size(), 3u);
   EXPECT_EQ(events[0].instance, 3);
-  const auto& arrival = event<Arrival>(events[0]);
+  const auto& arrival = event<MessageReceived>(events[0]);
   EXPECT_EQ(arrival.id, 0x000ae1aa5d3a91c4u);
   EXPECT_EQ(arrival.key, 0x91f03b7c55d20a64u);
   EXPECT_EQ(arrival.due, 8'652'250);
   EXPECT_EQ(arrival.destination, 57);
   EXPECT_EQ(event<TimerFired>(events[1]).token, 77u);
   EXPECT_EQ(events[2].instance, 5);
-  EXPECT_EQ(event<Withdrawn>(events[2]).id, 0x000a0de90e6f2b19u);
+  EXPECT_EQ(event<MessageReleased>(events[2]).id, 0x000a0de90e6f2b19u);
 }
 
-TEST(Wire, ReadsAnOutcomeWithAWaitAndAReport) {
+TEST(Wire, ReadsAnOutcomeWithARetryAfterAndAReport) {
   Decoder decoder;
   const auto events = decode(decoder, 2,
                              "0c 0003"
@@ -79,7 +79,7 @@
   EXPECT_EQ(ended.took, 18'500);
   EXPECT_EQ(ended.outcome, Outcome::kFull);
   EXPECT_FALSE(ended.final);
-  EXPECT_EQ(ended.wait, 500'000);
+  EXPECT_EQ(ended.retry_after, 500'000);
   EXPECT_EQ(ended.attempt, 2);
   EXPECT_EQ(ended.report, (std::vector<float>{0.5f, 5.0f}));
 }
@@ -87,7 +87,7 @@
 const char kEntryA[] = "01 00 3f800000 0a124a07 1b5b 0039 0000000000000000 0000";
 const char kEntryB[] = "02 01 3fc00000 0a9011f2 1b84 0039 4018666666666666 0001";
 
-TEST(Wire, ListNumbersAreResolvedInOrder) {
+TEST(Wire, AListNumberMeansItsLatestDefinition) {
   Decoder decoder;
   const std::string view = "02 00000000 04 00000029";
   const auto events = decode(
@@ -111,15 +111,15 @@
   EXPECT_EQ(event<MembersChanged>(events.at(0)).form, MembersChanged::Form::kFailed);
 }
 
-TEST(Wire, ReadsStartKillProbeAndNote) {
+TEST(Wire, ReadsStartKillProbeAndPeerMessage) {
   Decoder decoder;
   const auto events = decode(decoder, 5,
                              "0c 0003 01 0000000000000009 00000003 613d62 0a"
                              "08 0a9011f2 1b84 01 3f56f0068db8bac7 00 09 0002 0004 68692037");
-  EXPECT_EQ(std::get<PowerOn>(events.at(0).event).facts, "a=b");
+  EXPECT_EQ(std::get<PowerOn>(events.at(0).event).settings, "a=b");
   EXPECT_TRUE(std::holds_alternative<Kill>(events.at(1).event));
   EXPECT_TRUE(event<ProbeEnded>(events.at(2)).ok);
-  EXPECT_EQ(event<PeerNote>(events.at(3)).bytes, "hi 7");
+  EXPECT_EQ(event<PeerMessage>(events.at(3)).bytes, "hi 7");
 }
 
 TEST(Wire, WritesActions) {
@@ -129,7 +129,7 @@
   out.actions(3, actions);
   out.actions(4, {});
   const std::vector<Action> more = {Refuse{5, 300'000}, Fail{6},     Cancel{7, 1}, Probe{{1, 2}},
-                                    CloseIdle{{1, 2}},  WatchList{}, Log{"hi"},    TellPeers{"hi"}};
+                                    CloseIdle{{1, 2}},  WatchList{}, Log{"hi"},    BroadcastToPeers{"hi"}};
   out.actions(5, more);
   EXPECT_EQ(out.frame(), bytes("0000006e 0000000c"
                                "04 0003 07 000ae1aa5d3a91c4 0a124a07 1b5b 3fb47ae147ae147b"
@@ -139,13 +139,13 @@
                                "0a 0002 6869 0b ffff 0002 6869"));
 }
 
-TEST(Wire, PanicNamesItsInstance) {
+TEST(Wire, AnErrorNamesItsInstance) {
   Encoder out;
-  out.panic(3, "oh");
+  out.report_error(3, "oh");
   EXPECT_EQ(out.frame(), bytes("00000008 00000002 04 0003 06 0002 6f68"));
 }
 
-TEST(Wire, SaysWhatIsMalformedAndWhere) {
+TEST(Wire, ErrorsNameTheMalformedFieldAndItsPosition) {
   EXPECT_EQ(error_of(1, "0c 00"), "relay_id is cut short at byte 17");
   EXPECT_EQ(error_of(2, "0c 0003 63"), "unknown event code 99 at byte 19");
   EXPECT_EQ(error_of(1, "0b 00000000 ffffffff"), "nodes_list is cut short at byte 25");
