--- a/src/limits.h
+++ b/src/limits.h
@@ -38,7 +38,8 @@
   void apply_weight(double limit, Circuit& c) const {
     c.limit = limit;
     // Many relays that start together would use the limit up before the first report of it arrives.
-    if (s_.settings.relays <= kSmallFleet || s_.settings.report_left < 0 || c.pacing_rate != 0) return;
+    if (s_.settings.relays <= kSmallFleet || s_.settings.report_remaining_index < 0 || c.pacing_rate != 0)
+      return;
     c.pacing_rate = even_share(limit);
     if (c.bucket.refilled_at == 0) c.bucket = {1, s_.now};
   }
@@ -51,9 +52,9 @@
   // Updates the limit and the headroom. The headroom is part of a host's cost, so that independent endpoints
   // are loaded in proportion to their limits.
   void apply_report(const AttemptEnded& e, Circuit& c) {
-    const double limit = report_value(e.report, s_.settings.report_limit, 0);
+    const double limit = report_value(e.report, s_.settings.report_limit_index, 0);
     const double remaining =
-        limit > 0 ? std::min(1.0, report_value(e.report, s_.settings.report_left, 1)) : 1;
+        limit > 0 ? std::min(1.0, report_value(e.report, s_.settings.report_remaining_index, 1)) : 1;
     if (limit > 0) follow_report(limit, remaining, c);
     if (e.outcome != Outcome::kOk && e.outcome != Outcome::kFull) return;
     c.headroom += 2 * kSampleWeight * ((e.outcome == Outcome::kOk ? remaining : 0) - c.headroom);
@@ -61,8 +62,8 @@
 
   // Reported share of the limit that is left; below 0: the report names no limit.
   double reported_remaining(const std::vector<float>& report) const {
-    return report_value(report, s_.settings.report_limit, 0) > 0
-               ? report_value(report, s_.settings.report_left, 1)
+    return report_value(report, s_.settings.report_limit_index, 0) > 0
+               ? report_value(report, s_.settings.report_remaining_index, 1)
                : -1;
   }
 
@@ -165,12 +166,13 @@
   // Own share of the calls that a destination takes in an outage and while it warms up. What relays that are
   // unaware of the outage send is taken off the budget first.
   double recovery_rate(const Circuit& c) const {
-    const double warmth =
-        c.in_outage() ? 0 : seconds(s_.now - c.recovered_since) / std::max(1e-6, seconds(s_.settings.cold));
-    const double capacity =
-        s_.settings.start_capacity + (1 - s_.settings.start_capacity) * std::clamp(warmth, 0.0, 1.0);
+    const double warmth = c.in_outage() ? 0
+                                        : seconds(s_.now - c.recovered_since) /
+                                              std::max(1e-6, seconds(s_.settings.warmup_time));
+    const double capacity = s_.settings.warmup_start_capacity +
+                            (1 - s_.settings.warmup_start_capacity) * std::clamp(warmth, 0.0, 1.0);
     const double aware = aware_fraction(c);
-    const double budget = kRecoveryMargin * s_.settings.fall_multiple * capacity;
+    const double budget = kRecoveryMargin * s_.settings.overload_factor * capacity;
     const double min_trials = std::max(kTrialShare * (small_fleet() ? 1 : budget) * c.base_rate,
                                        kMinTrialsPerSecond / s_.settings.relays);
     return std::max(c.base_rate * (budget - (1 - aware)), c.in_outage() ? min_trials : 0) / aware;
--- a/src/members.h
+++ b/src/members.h
@@ -13,7 +13,7 @@
     if (e.form == MembersChanged::Form::kFailed) {
       watching_ = false;
       watch_at_ = s_.now + watch_pause_;
-      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, s_.settings.ask_every / 2));
+      watch_pause_ = std::min(watch_pause_ * 2, std::max(kSecond, s_.settings.list_request_interval / 2));
       return;
     }
     if (watching_) watch_pause_ = kSecond / 4;
@@ -45,7 +45,7 @@
 
   // Asks for the list if no watch is running, after a failure with a growing pause.
   void ensure_watch() {
-    if (!s_.settings.ask_for_list || watching_) return;
+    if (!s_.settings.list_on_request || watching_) return;
     if (s_.now < watch_at_) return s_.wake(watch_at_);
     s_.emit(WatchList{});
     watching_ = true;
@@ -66,7 +66,7 @@
       if (host.avoid_until > s_.now) avoided_until_ = std::min(avoided_until_, host.avoid_until);
     }
     s_.avoided_count_valid = true;
-    if (count != std::exchange(avoided_, count)) s_.emit(Avoided{count});
+    if (count != std::exchange(avoided_, count)) s_.emit(EndpointsAvoided{count});
   }
 
   // All relays learn at the same moment that a destination is reachable again, and all hold messages for it:
@@ -86,8 +86,8 @@
 
   // Adds to `changed` the circuit that the endpoint belonged to and the one that it belongs to now.
   void update_member(const Member& m, std::set<CircuitKey>& changed) {
-    const bool independent =
-        m.kind < static_cast<int>(s_.settings.kinds.size()) && s_.settings.kinds[m.kind].apart;
+    const bool independent = m.kind < static_cast<int>(s_.settings.kinds.size()) &&
+                             s_.settings.kinds[m.kind].independent_endpoints;
     Host& host = s_.hosts[m.endpoint];
     if (host.circuit != nullptr) changed.insert(host.circuit->key);
     if (m.listing == Listing::kGone) gone_.insert(m.endpoint);
--- a/src/outages.h
+++ b/src/outages.h
@@ -17,15 +17,15 @@
  public:
   Outages(State& state, const Limits& limits) : s_(state), limits_(limits) {}
 
-  void restore(const DestinationMemory& e) {
+  void restore(const DestinationSnapshot& e) {
     Destination& d = s_.destinations[e.destination];
     d.retry_budget = std::clamp(e.tokens, 0, kRetryBudgetCap);
     d.saved = e;
-    if (e.out_since == 0) return;
+    if (e.outage_since == 0) return;
     Circuit& c = s_.circuit({e.destination, Endpoint{}});
-    c.outage_since = e.out_since;
-    c.recovered_since = e.back_since;
-    c.base_rate = e.base;
+    c.outage_since = e.outage_since;
+    c.recovered_since = e.recovered_since;
+    c.base_rate = e.served_rate;
     c.recovery_bucket = {seconds(s_.random.between(0, kSecond)), s_.now};
     s_.outage_changed(e.destination);
     watch(c);
@@ -34,11 +34,12 @@
   void save_snapshots() {
     for (const int number : std::exchange(s_.changed_destinations, {})) {
       Destination& d = s_.destinations[number];
+
       // The retry budget is rounded down to whole retries, so that not every served call stores a snapshot.
-      DestinationMemory next{number, d.retry_budget - d.retry_budget % kRetryCost};
+      DestinationSnapshot next{number, d.retry_budget - d.retry_budget % kRetryCost};
       const Circuit& c = s_.circuit({number, Endpoint{}});
       if (c.outage_since != 0) next = {number, next.tokens, c.outage_since, c.recovered_since, c.base_rate};
-      if (next != std::exchange(d.saved, next)) s_.emit(Remember{next});
+      if (next != std::exchange(d.saved, next)) s_.emit(SaveSnapshot{next});
     }
   }
 
@@ -107,7 +108,7 @@
   bool update(Circuit& c) {
     const int overdue = std::exchange(c.overdue, 0);
     if (c.outage_since != 0) {
-      if (c.in_outage() || s_.now - c.recovered_since < s_.settings.cold) return true;
+      if (c.in_outage() || s_.now - c.recovered_since < s_.settings.warmup_time) return true;
       log(c, "warm");
       c.outage_since = 0;
       s_.outage_changed(c.key.first);
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,7 +1,7 @@
-// The module's step: folds what happened into its parts, the headers beside this, then lets each decide once.
-#include "firspool/policy.h"
-
+// The step of the module: applies the events to its components (the headers in this folder), then each
+// decides once.
 #include "dispatch.h"
+#include "firspool/policy.h"
 #include "members.h"
 #include "outages.h"
 #include "refusals.h"
@@ -15,40 +15,44 @@
   Impl(const Settings& settings, uint64_t seed) : s_(settings, seed) {}
 
   void step(Time now, std::span<const Event> events, std::vector<Action>& actions) {
-    if (now < s_.now) throw std::invalid_argument("time goes back");
+    if (now < s_.now) throw std::invalid_argument("time goes backwards");
     if (s_.started == kNever) s_.started = now;
     s_.now = now;
     s_.actions = &actions;
-    for (const Event& event : events) std::visit([this](const auto& e) { fold(e); }, event);
+    for (const Event& event : events) std::visit([this](const auto& e) { handle(e); }, event);
     members_.erase_gone();
     s_.wake_at = kNever;
     members_.ensure_watch();
     outages_.check();
-    refusals_.settle();
-    refusals_.shed(1);  // before any of what came is sent
+    refusals_.end_hopeless();
+    refusals_.shed_lowest_value(1);  // before any new message is sent
     const std::vector<Candidate> waiting = messages_.waiting();
     dispatch_.send(waiting);
-    refusals_.turn_away(waiting);
-    refusals_.shed(kShedAbove);
+    refusals_.refuse_queue_overflow(waiting);
+    refusals_.shed_lowest_value(kShedThreshold);
     outages_.save_snapshots();
     members_.report_avoided();
-    arm();
+    set_timer();
   }
 
  private:
-  void fold(const Retuned& e) { s_.apply_settings(e.settings); }
-  void fold(const MembersChanged& e) { members_.on_changed(e); }
-  void fold(const Arrival& e) { messages_.take(e); }
-  void fold(const Withdrawn& e) { messages_.withdraw(e); }
-  void fold(const PeerNote&) {}
-  void fold(const DestinationMemory& e) { outages_.restore(e); }
-  void fold(const WaitTold& e) { limits_.extend_wait(e.until, s_.circuit({e.destination, e.endpoint})); }
-  void fold(const Granted& e) { s_.shares[{e.of, e.number}].grant(e, s_.now); }
-  void fold(const Closing& e) { s_.shutdown_at = e.at; }
-  void fold(const ProbeEnded& e) { limits_.on_probe_ended(e); }
-  void fold(const TimerFired& e) { armed_ = static_cast<Time>(e.token) == armed_ ? kNever : armed_; }
+  void handle(const SettingsChanged& e) { s_.apply_settings(e.settings); }
+  void handle(const MembersChanged& e) { members_.on_changed(e); }
+  void handle(const MessageReceived& e) { messages_.add(e); }
+  void handle(const MessageReleased& e) { messages_.release(e); }
+  void handle(const PeerMessage&) {}
+  void handle(const DestinationSnapshot& e) { outages_.restore(e); }
+  void handle(const RetryAfterReceived& e) {
+    limits_.extend_wait(e.until, s_.circuit({e.destination, e.endpoint}));
+  }
+  void handle(const ShareGranted& e) { s_.shares[{e.scope, e.id}].grant(e, s_.now); }
+  void handle(const ShuttingDown& e) { s_.shutdown_at = e.at; }
+  void handle(const ProbeEnded& e) { limits_.on_probe_ended(e); }
+  void handle(const TimerFired& e) {
+    timer_at_ = static_cast<Time>(e.token) == timer_at_ ? kNever : timer_at_;
+  }
 
-  void fold(const AttemptEnded& e) {
+  void handle(const AttemptEnded& e) {
     const auto found = s_.attempts.extract({e.id, e.attempt});
     if (found.empty()) return;
     const Attempt& attempt = found.mapped();
@@ -61,31 +65,33 @@
     }
     host.last_used = s_.now;
     host.circuit->trials_in_flight -= attempt.trial;
-    learn(e, attempt, host, d);
+    learn_outcome(e, attempt, host, d);
     connections_.close_idle_if_full(host, s_.kinds[d.kind]);
-    messages_.ended(e, attempt, host.member.zone);
+    messages_.on_attempt_ended(e, attempt, host.member.zone);
   }
 
-  void learn(const AttemptEnded& e, const Attempt& attempt, Host& host, Destination& d) {
+  void learn_outcome(const AttemptEnded& e, const Attempt& attempt, Host& host, Destination& d) {
     Circuit& l = *host.circuit;
     KindEstimates& kind = s_.kinds[d.kind];
     limits_.apply_report(e, l);
     connections_.on_ended(e.outcome, attempt, kind, l);
     const bool ok = e.outcome == Outcome::kOk;
     const bool late = e.outcome == Outcome::kTimeout;
-    // Slow or lost: whether calls past the suspicious age are served after all.
+    // The share of calls past the suspicious age that are served after all: slow, not lost.
     if ((ok || late) && e.took > s_.latency_of(d).suspicious_age())
       s_.late_success_ratio += 2 * kSampleWeight * ((ok ? 1 : 0) - s_.late_success_ratio);
-    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMoot || e.outcome == Outcome::kUnsent)
+    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kNotForwarded ||
+        e.outcome == Outcome::kNotSent)
       return;
     if (e.outcome == Outcome::kFull) {
-      if (e.wait > 0) limits_.extend_wait(s_.now + e.wait, l);
-      if (e.wait > 0 && l.follows_reports) l.bucket = limits_.random_bucket(l.wait_until);
-      if (e.wait == 0) limits_.on_refused(attempt, l);
+      if (e.retry_after > 0) limits_.extend_wait(s_.now + e.retry_after, l);
+      if (e.retry_after > 0 && l.follows_reports) l.bucket = limits_.random_bucket(l.wait_until);
+      if (e.retry_after == 0) limits_.on_refused(attempt, l);
       const double left = limits_.reported_remaining(e.report);
       outages_.on_unserved(attempt, l,
-                           left >= kExhaustedShare && l.outage_since == 0 && limits_.rare_caller(l), e.wait);
-      // A rare caller is refused for long by a limit that others use up: that is no outage.
+                           left >= kExhaustedShare && l.outage_since == 0 && limits_.rare_caller(l),
+                           e.retry_after);
+      // A limit that other relays use up may reject a rare caller for long: that is no outage.
       if (left >= 0 && left < kExhaustedShare) l.unserved_since = kNever;
     } else if (ok) {
       d.retry_budget = std::min(kRetryBudgetCap, d.retry_budget + 1);
@@ -100,7 +106,8 @@
       limits_.on_served(l);
       outages_.on_served(attempt, l);
     } else {
-      // Lost answers are no sign of slowness: time-outs teach only where overdue calls are served after all.
+      // A lost answer says nothing of the latency: timeouts count only where overdue calls are served after
+      // all.
       if (late && s_.late_success_ratio > kMinLateSuccessRatio && l.last_served_sent_at < attempt.sent_at)
         learn_latency(d, kind, e.took);
       if (e.outcome != Outcome::kError) connections_.avoid(host);
@@ -116,10 +123,10 @@
     d.latency.add(seconds(took));
   }
 
-  void arm() {
-    if (s_.wake_at == kNever || (armed_ > s_.now && armed_ <= s_.wake_at)) return;
-    armed_ = s_.wake_at;
-    s_.emit(SetTimer{static_cast<uint64_t>(armed_), armed_});
+  void set_timer() {
+    if (s_.wake_at == kNever || (timer_at_ > s_.now && timer_at_ <= s_.wake_at)) return;
+    timer_at_ = s_.wake_at;
+    s_.emit(SetTimer{static_cast<uint64_t>(timer_at_), timer_at_});
   }
 
   State s_;
@@ -130,7 +137,7 @@
   Messages messages_{s_};
   Refusals refusals_{s_, messages_};
   Dispatch dispatch_{s_, messages_, connections_, limits_};
-  Time armed_ = kNever;
+  Time timer_at_ = kNever;
 };
 
 Policy::Policy(Settings settings, uint64_t seed) : impl_(std::make_unique<Impl>(settings, seed)) {}
--- a/src/state.h
+++ b/src/state.h
@@ -27,7 +27,7 @@
   double burst = 0;
 
   bool has_grant() const { return per_s >= 0; }
-  void grant(const Granted& e, Time now) {
+  void grant(const ShareGranted& e, Time now) {
     refill(now, std::max(0.0, per_s), burst);  // by the old rate until now
     per_s = e.per_s;
     burst = per_s > 0 ? std::max(1.0, per_s * e.burst_s) : 0;
@@ -50,7 +50,7 @@
 };
 
 // The inherited attempt count and execution state also cover the attempts made here.
-struct Message : Arrival {
+struct Message : MessageReceived {
   Time target = 0, not_before = 0;  // target: the message keeps its full value until then
   double value = 0;
   bool in_flight = false, released = false;
@@ -124,7 +124,7 @@
   int kind = 0, calls = 0;  // calls: in flight
   std::set<std::pair<int, int>> listed_zone_kinds;  // every zone and kind of an endpoint ever listed
   int retry_budget = kRetryBudgetCap;               // in units, see kRetryCost
-  DestinationMemory saved{0, kRetryBudgetCap};      // what the caller was last told to store
+  DestinationSnapshot saved{0, kRetryBudgetCap};    // what the caller was last told to store
   Latency latency, usual_latency;  // usual_latency: without outliers, the reference for the slot share
 };
 
@@ -139,13 +139,15 @@
     const auto same = [](const auto& a, const auto& b) { return a.name == b.name; };
     if (!std::ranges::equal(settings.tenants, next.tenants, same)) {
       tenant_buckets.clear();
-      std::erase_if(shares, [](const auto& entry) { return entry.first.first == Granted::Of::kTenant; });
+      std::erase_if(shares,
+                    [](const auto& entry) { return entry.first.first == ShareGranted::Scope::kTenant; });
     }
     if (!std::ranges::equal(settings.kinds, next.kinds, same)) kinds.clear();
     settings = next;
     rules = message_rules(settings);
     max_time_to_live = kSecond;
-    for (const ClassSettings& c : settings.classes) max_time_to_live = std::max(max_time_to_live, c.give_up);
+    for (const ClassSettings& c : settings.classes)
+      max_time_to_live = std::max(max_time_to_live, c.time_to_live);
   }
 
   void emit(Action action) { actions->push_back(std::move(action)); }
@@ -160,13 +162,14 @@
 
   Circuit& circuit(const CircuitKey& key) {
     const auto [it, inserted] = circuits.try_emplace(key);
-    if (inserted) it->second.share = &shares[{Granted::Of::kDestination, (it->second.key = key).first}];
+    if (inserted)
+      it->second.share = &shares[{ShareGranted::Scope::kDestination, (it->second.key = key).first}];
     return it->second;
   }
   BudgetShare& share_of(const Destination& d) {
-    return shares[{Granted::Of::kDestination, d.saved.destination}];
+    return shares[{ShareGranted::Scope::kDestination, d.saved.destination}];
   }
-  BudgetShare& limit_share(int limit_id) { return shares[{Granted::Of::kLimit, limit_id}]; }
+  BudgetShare& limit_share(int limit_id) { return shares[{ShareGranted::Scope::kLimit, limit_id}]; }
   const Latency& latency_of(const Destination& d) {
     return d.latency.samples > 0 ? d.latency : kinds[d.kind].latency;
   }
@@ -184,7 +187,8 @@
   double late_success_ratio = 2 * kMinLateSuccessRatio;  // share of overdue calls that are served after all
   std::map<int, KindEstimates> kinds;
   std::map<int, TokenBucket> tenant_buckets;
-  std::map<std::pair<Granted::Of, int>, BudgetShare> shares;  // for a tenant's quota only per_s is used
+  std::map<std::pair<ShareGranted::Scope, int>, BudgetShare>
+      shares;  // for a tenant's quota only per_s is used
   std::map<uint64_t, Message> messages;
   std::map<std::pair<uint64_t, int>, Attempt> attempts;
   std::map<uint64_t, int> calls;  // calls in flight, each with its number of messages without an outcome
--- a/tests/cold_fleet.h
+++ b/tests/cold_fleet.h
@@ -39,20 +39,20 @@
   Settings s = plain_settings();
   s.classes[1].effect = Effect::kSafe;
   s.classes[1].target = kSecond;
-  s.classes[1].give_up = 5 * kSecond;
-  s.self = self;
+  s.classes[1].time_to_live = 5 * kSecond;
+  s.relay_index = self;
   s.relays = scenario.relays;
-  s.slots = 40;
+  s.max_in_flight = 40;
   s.max_open = 300;
   s.max_attempts = 8;
-  s.cold = 13 * kSecond;
-  s.fall_window = 1'500'000;
-  s.fall_multiple = 1.5;
-  s.start_capacity = 0.23;
+  s.warmup_time = 13 * kSecond;
+  s.overload_window = 1'500'000;
+  s.overload_factor = 1.5;
+  s.warmup_start_capacity = 0.23;
   if (!scenario.reports_limit) return s;
   s.weights = Weights::kNominal;
-  s.report_left = 0;
-  s.report_limit = 1;
+  s.report_remaining_index = 0;
+  s.report_limit_index = 1;
   return s;
 }
 
@@ -95,8 +95,8 @@
     std::unique_ptr<Policy> policy;
     int incarnation = 0;
     bool aware = false;  // one of its calls failed or was refused during the outage
-    std::map<uint64_t, Arrival> messages;
-    DestinationMemory memory;
+    std::map<uint64_t, MessageReceived> messages;
+    DestinationSnapshot memory;
   };
   using ReceivedCall = std::pair<Time, bool>;  // arrival time of a call, and whether its relay was aware
 
@@ -108,8 +108,8 @@
 
   double warmth(Time t, const Settings& s) const {
     if (t < kDownAt) return 1;
-    const double part = std::min(1.0, static_cast<double>(t - kUpAt) / static_cast<double>(s.cold));
-    return s.start_capacity + (1 - s.start_capacity) * part;
+    const double part = std::min(1.0, static_cast<double>(t - kUpAt) / static_cast<double>(s.warmup_time));
+    return s.warmup_start_capacity + (1 - s.warmup_start_capacity) * part;
   }
 
   Event list() const {
@@ -121,11 +121,11 @@
   void schedule_message(Time at) {
     const double point = uniform() * sums_.back();
     const int relay = static_cast<int>(std::upper_bound(sums_.begin(), sums_.end(), point) - sums_.begin());
-    Arrival a;
+    MessageReceived a;
     a.id = ++last_id_;
     a.message_class = static_cast<int>(last_id_ % 2);
     a.destination = 1;
-    a.due = at + relays_[relay].settings.classes[a.message_class].give_up;
+    a.due = at + relays_[relay].settings.classes[a.message_class].time_to_live;
     received_ += at >= kDownAt;
     queue_[tick_after(at)][relay].push_back({-1, a});
   }
@@ -147,7 +147,7 @@
         else if (now >= kDownAt && sent <= kUpAt)
           process.aware |= now <= kUpAt;
       }
-      if (const auto* a = std::get_if<Arrival>(&event)) process.messages[a->id] = *a;
+      if (const auto* a = std::get_if<MessageReceived>(&event)) process.messages[a->id] = *a;
       events.push_back(event);
     }
     if (!process.policy) process.policy = std::make_unique<Policy>(process.settings, random_());
@@ -171,7 +171,7 @@
   void carry_out(Time now, int relay, const Action& action) {
     Process& process = relays_[relay];
     if (const auto* send = std::get_if<Send>(&action)) {
-      Arrival& message = process.messages.at(send->id);
+      MessageReceived& message = process.messages.at(send->id);
       const auto [outcome, took] = call(now, process, send->timeout);
       AttemptEnded e = ended(*send, message.attempts++, outcome, took);
       if (setup_.reports_limit && (outcome == Outcome::kOk || outcome == Outcome::kFull))
@@ -183,8 +183,8 @@
       process.messages.erase(refuse->id);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       process.messages.erase(fail->id);
-    } else if (const auto* remember = std::get_if<Remember>(&action)) {
-      process.memory = remember->memory;
+    } else if (const auto* remember = std::get_if<SaveSnapshot>(&action)) {
+      process.memory = remember->snapshot;
     }
   }
 
@@ -209,15 +209,15 @@
   Result evaluate() const {
     Result out;
     const Settings& s = relays_[0].settings;
-    const double window = static_cast<double>(s.fall_window) / 1e6;
+    const double window = static_cast<double>(s.overload_window) / 1e6;
     size_t cold = 0;
     for (size_t first = 0, end = 0; first < calls_.size(); ++first) {
       const Time from = calls_[first].first;
-      if (from + s.fall_window > kUpAt + s.cold) break;
+      if (from + s.overload_window > kUpAt + s.warmup_time) break;
       ++cold;
-      while (end < calls_.size() && calls_[end].first < from + s.fall_window) ++end;
-      const double n = s.fall_multiple * setup_.capacity * window *
-                       (warmth(from, s) + warmth(from + s.fall_window, s)) / 2;
+      while (end < calls_.size() && calls_[end].first < from + s.overload_window) ++end;
+      const double n = s.overload_factor * setup_.capacity * window *
+                       (warmth(from, s) + warmth(from + s.overload_window, s)) / 2;
       const double calls = static_cast<double>(end - first);
       out.max_excess = std::max(out.max_excess, (calls - n) / (2 * std::sqrt(n) + 2));
       out.exceeded |= calls > n + 2 * std::sqrt(n) + 2;
@@ -227,9 +227,9 @@
       for (size_t i = first; i < end; ++i) aware += calls_[i].second;
       out.caused_by_aware = 3 * aware > 2 * (end - first);
     }
-    const double cold_s = static_cast<double>(s.cold) / 1e6;
-    out.budget_used =
-        static_cast<double>(cold) / (s.fall_multiple * setup_.capacity * cold_s * (1 + s.start_capacity) / 2);
+    const double cold_s = static_cast<double>(s.warmup_time) / 1e6;
+    out.budget_used = static_cast<double>(cold) /
+                      (s.overload_factor * setup_.capacity * cold_s * (1 + s.warmup_start_capacity) / 2);
     out.served = served_;
     out.received = received_;
     return out;
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -8,12 +8,13 @@
 namespace firspool::testing {
 namespace {
 
-constexpr Way kDeny{false, 0, -1}, kAllow{true, 0, -1}, kFallback{true, 1, -1}, kLimit{true, 0, 3};
+constexpr RouteRule kDeny{false, 0, -1}, kAllow{true, 0, -1}, kFallback{true, 1, -1}, kLimit{true, 0, 3};
 
-std::shared_ptr<const Ways> routes(std::vector<Way> zones) {  // the same rule for both kinds of each zone
-  Ways out{2, {}};
-  for (const Way& way : zones) out.by.insert(out.by.end(), {way, way});
-  return std::make_shared<const Ways>(out);
+std::shared_ptr<const RouteTable> routes(
+    std::vector<RouteRule> zones) {  // the same rule for both kinds of each zone
+  RouteTable out{2, {}};
+  for (const RouteRule& way : zones) out.rules.insert(out.rules.end(), {way, way});
+  return std::make_shared<const RouteTable>(out);
 }
 
 Member in_zone(uint32_t address, int zone, int kind = 0, Listing listing = Listing::kReady) {
@@ -22,19 +23,20 @@
   return m;
 }
 
-Arrival message(const Relay& relay, uint64_t id, Time now, std::vector<Way> zones, int destination = 1) {
-  Arrival a = relay.message(id, now, 0, destination);
-  a.ways = routes(std::move(zones));
+MessageReceived message(const Relay& relay, uint64_t id, Time now, std::vector<RouteRule> zones,
+                        int destination = 1) {
+  MessageReceived a = relay.message(id, now, 0, destination);
+  a.routes = routes(std::move(zones));
   return a;
 }
 
-Granted grant(double per_s, Granted::Of of = Granted::Of::kDestination, int number = 1) {
+ShareGranted grant(double per_s, ShareGranted::Scope of = ShareGranted::Scope::kDestination, int number = 1) {
   return {of, number, per_s, 1};
 }
 
 Settings retry_settings() {
   Settings s = plain_settings();
-  s.retry_after_heard = true;
+  s.sends_retry_after = true;
   s.max_retry_after = 10 * kSecond;
   return s;
 }
@@ -66,7 +68,7 @@
 
 TEST(Routes, ALowerRankIsWaitedForUnlessUnavailable) {
   Relay relay(plain_settings());
-  const std::vector<Way> zones = {kFallback, kAllow};
+  const std::vector<RouteRule> zones = {kFallback, kAllow};
   const auto first = all_of<Send>(
       relay.step(0, {members({in_zone(1, 0, 1), in_zone(2, 1, 1)}), message(relay, 1, 0, zones)}));
   ASSERT_EQ(first.at(0).endpoint.address, 2u);  // the lower rank, although it is in the other zone
@@ -134,20 +136,20 @@
     std::vector<Member> list;
     for (uint32_t i = 0; i < 6; ++i)
       list.push_back({{i, 80}, Listing::kReady, static_cast<int>(i % 3), below(2), 1 + below(2), 1});
-    const std::vector<Way> rules = {kDeny, kAllow, kFallback, kLimit};
+    const std::vector<RouteRule> rules = {kDeny, kAllow, kFallback, kLimit};
     std::multimap<Time, Event> due;
     due.emplace(0, members(list));
-    std::map<uint64_t, Arrival> sent;
+    std::map<uint64_t, MessageReceived> sent;
     std::map<uint64_t, int> attempts;
     std::vector<Time> to_first, limited;
     for (Time now = 0; now < 60 * kSecond; now += 10'000 + below(20'000)) {
       if (below(40) == 0) {
         due.emplace(now, grant(capacity));  // repeatedly, as leases are renewed
-        due.emplace(now, grant(limit, Granted::Of::kLimit, 3));
+        due.emplace(now, grant(limit, ShareGranted::Scope::kLimit, 3));
       }
       if (below(4) == 0) {
         const uint64_t id = sent.size() + 1;
-        const Arrival a =
+        const MessageReceived a =
             message(relay, id, now, {rules[below(4)], rules[below(4)], rules[below(4)]}, 1 + below(2));
         due.emplace(now, sent[id] = a);
       }
@@ -156,9 +158,9 @@
         events.push_back(due.begin()->second);
       for (const Send& send : all_of<Send>(relay.step(now, events))) {
         const Member& m = list[send.endpoint.address];
-        const Way way = sent[send.id].ways->of(m.zone, m.kind);
+        const RouteRule way = sent[send.id].routes->rule_for(m.zone, m.kind);
         EXPECT_TRUE(way.allowed);
-        if (way.limit >= 0) limited.push_back(now);
+        if (way.limit_id >= 0) limited.push_back(now);
         if (m.destination == 1 && now > 5 * kSecond) to_first.push_back(now);
         const int answer = below(10);
         due.emplace(now + 50'000 + below(400'000),
@@ -183,7 +185,7 @@
 TEST(BudgetShares, ASmallerShareCapsTheSavedTokens) {
   for (const double next : {10.0, 3.0, 0.0, -1.0}) {
     Settings s = plain_settings();
-    s.slots = 50;
+    s.max_in_flight = 50;
     Relay relay(s);
     std::vector<Event> events = {grant(next)};
     relay.step(0, {members({member(1)}), grant(10)});
@@ -197,7 +199,9 @@
 TEST(BudgetShares, AMessageIsSentOnceItsTokenIsAvailable) {
   for (const bool limit : {false, true}) {
     Relay relay(retry_settings());
-    const auto granted = [&](double r) { return limit ? grant(r, Granted::Of::kLimit, 3) : grant(r); };
+    const auto granted = [&](double r) {
+      return limit ? grant(r, ShareGranted::Scope::kLimit, 3) : grant(r);
+    };
     std::vector<Event> events = {members({member(1)}), message(relay, 1, 0, {limit ? kLimit : kAllow})};
     if (!limit) events.push_back(granted(0));  // a limit passes nothing before its first grant
     EXPECT_TRUE(all_of<Send>(relay.step(0, events)).empty());
@@ -218,29 +222,29 @@
 TEST(BudgetShares, MessagesBeyondTheShareAreRefusedAtOnce) {
   for (const bool limit : {false, true}) {
     Settings s = retry_settings();
-    s.classes[0].give_up = 6 * kSecond;
+    s.classes[0].time_to_live = 6 * kSecond;
     Relay relay(s);
     std::vector<Event> events = {members({member(1)}),
-                                 limit ? grant(0.5, Granted::Of::kLimit, 3) : grant(0.5)};
+                                 limit ? grant(0.5, ShareGranted::Scope::kLimit, 3) : grant(0.5)};
     for (uint64_t id = 1; id <= 30; ++id) events.push_back(message(relay, id, 0, {limit ? kLimit : kAllow}));
     const auto refused = all_of<Refuse>(relay.step(0, events));
     EXPECT_GT(refused.size(), 15u);
     EXPECT_LT(refused.size(), 28u);
-    for (const Refuse& r : refused) EXPECT_EQ(r.reason, Reason::kQueue);
+    for (const Refuse& r : refused) EXPECT_EQ(r.reason, Reason::kQueueTooLong);
   }
 }
 
 TEST(BudgetShares, ATenantsShareReplacesTheEvenShareOfItsQuota) {
   for (const double granted : {-1.0, 0.0, 5.0}) {
     Settings s = plain_settings();
-    s.slots = 1, s.relays = 10;
-    s.over_share_worth = 0.2;
+    s.max_in_flight = 1, s.relays = 10;
+    s.over_share_value = 0.2;
     s.tenants = {{"one", 20}};
     Relay relay(s);
-    Arrival ours = relay.message(1, 0), other = relay.message(2, 0);
+    MessageReceived ours = relay.message(1, 0), other = relay.message(2, 0);
     other.tenant = -1;
     const auto sends = all_of<Send>(
-        relay.step(0, {members({member(1)}), grant(granted, Granted::Of::kTenant, 0), ours, other}));
+        relay.step(0, {members({member(1)}), grant(granted, ShareGranted::Scope::kTenant, 0), ours, other}));
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].id, granted == 0 ? 2u : 1u);
   }
