--- a/fleet/agreement_relay.cpp
+++ b/fleet/agreement_relay.cpp
@@ -45,7 +45,7 @@
     ask_->told_term = leader_term_;
     ask_->told_stamp = leader_stamp_;
   }
-  if (settings_.rider != nullptr) r.ride = settings_.rider->ask(now);
+  if (settings_.rider != nullptr) r.ride = settings_.rider->renewal_payload(now);
   sent_[number_] = now;
   if (sent_.size() > kMostSent) sent_.erase(sent_.begin());
   return r;
@@ -100,7 +100,7 @@
   if (!steady) return shut("its clock and the leader's differ by more than 1 in 500");
   const Time until = asked + g.lease;
   if (g.lease > 0 && !g.ride.empty() && settings_.rider != nullptr &&
-      settings_.rider->took(now, g.term, g.ride, until)) {
+      settings_.rider->on_grant(now, g.term, g.ride, until)) {
     renew_at_ = std::min(renew_at_, now + settings_.period / 8);  // the leader hears that it is taken
   }
   if (g.lease == 0 || until <= lease_until_ || until <= now) return;
--- a/fleet/agreement_settings.h
+++ b/fleet/agreement_settings.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "lease_piggyback.h"
 #include "machine.h"
 #include "policy_log.h"
-#include "rider.h"
 
 namespace umberhoist::fleet {
 
@@ -30,7 +30,8 @@
   std::string program;  // its version, for people
   // Why a policy cannot be held here; empty where it can. A function of its argument and of the program.
   std::function<std::string(const std::string& text)> check;
-  Rider* rider = nullptr;  // what goes along with renewals and grants; outlives the agreement; null: nothing
+  LeasePiggyback* rider =
+      nullptr;  // what goes along with renewals and grants; outlives the agreement; null: nothing
   AgreementPlant plant = AgreementPlant::kNothing;
 };
 
--- a/fleet/budget_holder.h
+++ b/fleet/budget_holder.h
@@ -1,15 +1,15 @@
-// A relay's part of the fleet's budgets: what it may spend of each now, and what it tells of its demand.
+// A relay's side of the fleet's budgets: what it may spend of each now, and the demand that it reports.
 //
-// What it may spend: its floor at all times, and the part in the table that it took last until the lease that
-// came with it is over by this relay's clock. A table is taken only where it is made out of the one held
-// here, in the same reign or a later one; so an older one never takes the place of a newer. The whole that
-// its floor goes by is the lower of its own and the one that the leader told last.
+// Allowed rate: its floor at all times, plus its share in the table applied last until the lease that came
+// with that table ends by this relay's clock. A table is applied only if its base is the table held here
+// (none of a new leader term) and its term is not older, so an older table never replaces a newer one. The
+// floor is computed from the lower of the relay's own capacity and the one that the leader sent last.
 //
-// Demand: calls that were asked for a second, followed upwards within a period or two and forgotten within
-// one or two terms, and what waits, over a term; at most the whole. Told where it differs by a fifth from
-// what was told.
+// Demand: the rate of requested calls, which follows a rise within one or two periods and decays within one
+// or two lease durations, plus the waiting calls spread over one lease duration; at most the capacity. It is
+// reported when it differs by a fifth from the last report.
 //
-// Bounds: kMostBudgets budgets and parts; beyond, a budget has its floor and is not told.
+// Limits: kMaxBudgets budgets and shares; any further budget has its floor only and is not reported.
 #pragma once
 
 #include <map>
@@ -23,78 +23,80 @@
 class BudgetHolder {
  public:
   struct Settings {
-    double floor = 0.2;
-    uint64_t names = 1;  // that the floors are divided among
-    Time period = 500 * kMs;
-    Time term = 3000 * kMs;
-    uint64_t life = 1;  // never another's; above 0
+    double floor_share = 0.2;
+    uint64_t relays = 1;      // that the floors are divided among
+    Time period = 500 * kMs;  // of lease renewals
+    Time lease_duration = 3000 * kMs;
+    uint64_t incarnation = 1;  // unique to this run of the process; above 0
   };
-  struct Change {  // this may be spent from now on
+  struct Change {  // of an allowed rate
     std::string name;
-    double per_s = 0;  // below 0: the budget is known no more
+    double per_s = 0;  // below 0: the budget no longer exists
   };
-  struct Standing {  // of one budget, for people
-    double whole = 0, floor = 0, part = 0, demand = 0;
+  struct Status {  // of one budget, in calls a second
+    double capacity = 0, floor = 0, share = 0, demand = 0;
   };
 
   explicit BudgetHolder(Settings settings) : settings_(settings) {}
 
-  void configure(double floor, uint64_t names);
-  // The whole as known here from now on, calls a second; 0: there is no such budget. `told`: other relays may
-  // know another (else the fleet's policy says it).
-  void whole(const std::string& name, double per_s, bool told);
-  void asked(const std::string& name, double calls);         // were wanted, whether or not they could go out
-  void waiting(const std::map<std::string, double>& calls);  // wanted and not out, now; of others none
-  // Another process of this name may have spent meanwhile: this one begins as a life of its own.
-  void begin(uint64_t life);
+  void configure(double floor_share, uint64_t relays);
+  // Sets the capacity in calls a second; 0 removes the budget. `report_capacity`: other relays may know
+  // another capacity, so it is reported to the leader; otherwise the fleet's policy sets it.
+  void set_capacity(const std::string& name, double per_s, bool report_capacity);
+  void record_demand(const std::string& name, double calls);  // requested calls, sent or not
+  // Replaces the counts of calls that wait to be sent, of all budgets; a missing one has 0.
+  void set_waiting(const std::map<std::string, double>& calls);
+  // Starts over as another incarnation, because another process of this name may have spent meanwhile.
+  void begin_incarnation(uint64_t incarnation);
 
-  Demands tell(Time now);
-  // `until`: the end of the lease. Answers whether others wait for what it gave up: renew soon.
-  bool took(Time now, uint64_t reign, const Parts& parts, Time until);
+  DemandReport demand_report(Time now);
+  // Returns whether a share became smaller, which other relays may wait for: renew soon.
+  bool apply_table(Time now, uint64_t leader_term, const ShareTable& table, Time lease_end);
 
-  double may(Time now, const std::string& name) const;  // a second; 0 of what is not known
-  void say_again() {                                    // all of it, with the next changes()
-    for (auto& [name, entry] : entries_) entry.said = -1;
+  double allowed_rate(Time now, const std::string& name) const;  // calls a second; 0 if not known
+  void republish_all() {                                         // with the next changes()
+    for (auto& [name, entry] : entries_) entry.published = -1;
     changed_ = true;
   }
-  // All that differ from what was said last, each once.
+  // The allowed rates that differ from those returned before.
   std::vector<Change> changes(Time now);
-  Time next() const;  // when changes() is due; kNever: nothing ends
-  std::map<std::string, Standing> standing(Time now) const;
-  uint64_t fingerprint(Time now) const;  // of all that decides what comes next, but for what was asked since
-  uint64_t reign() const { return table_reign_; }  // of the leader that gave the table; 0: none
-  bool leased(Time now) const { return now < until_; }
+  Time next_change_at() const;  // when changes() must be called next; kNever: no lease will end
+  std::map<std::string, Status> status(Time now) const;
+  // Hash of the state that determines later behaviour, except for demand recorded since the last report.
+  uint64_t fingerprint(Time now) const;
+  uint64_t leader_term() const { return table_leader_term_; }  // of the table; 0: none
+  bool leased(Time now) const { return now < lease_end_; }
   size_t size() const { return entries_.size(); }
-  uint64_t taken() const { return taken_; }  // tables
+  uint64_t tables_applied() const { return tables_applied_; }
 
  private:
   struct Entry {
     uint64_t hash = 0;
-    double whole = 0;
-    bool told = false;
-    double asked = 0, waiting = 0, rate = 0;
-    Demand word;           // told last
-    uint64_t version = 0;  // of that word; 0: none
-    double said = -1;
+    double capacity = 0;
+    bool report_capacity = false;
+    double requested_calls = 0, waiting_calls = 0, request_rate = 0;
+    Demand reported;        // last sent
+    uint64_t version = 0;   // of `reported`; 0: none
+    double published = -1;  // rate that changes() returned last; -1: none
   };
 
   double floor_of(const Entry& entry) const;
-  double may_of(Time now, const Entry& entry) const;
-  void weigh(Time now);
+  double allowed_rate_of(Time now, const Entry& entry) const;
+  void update_request_rates(Time now);
 
   Settings settings_;
   std::map<std::string, Entry> entries_;
-  Time weighed_ = -1;
-  uint64_t version_ = 0;      // of the newest word
-  uint64_t heard_reign_ = 0;  // whose leader
-  uint64_t heard_ = 0;        // has heard the words up to this
-  std::unordered_map<uint64_t, Part> table_;
-  uint64_t table_reign_ = 0;
-  uint64_t number_ = 0;
-  Time until_ = 0;
-  Time said_at_ = -1;  // changes() was asked last
+  Time rates_updated_at_ = -1;
+  uint64_t version_ = 0;            // of the newest demand update
+  uint64_t acked_leader_term_ = 0;  // of the leader that acknowledged
+  uint64_t acked_version_ = 0;      // the demand updates up to this one
+  std::unordered_map<uint64_t, Share> table_;
+  uint64_t table_leader_term_ = 0;
+  uint64_t table_version_ = 0;
+  Time lease_end_ = 0;
+  Time published_at_ = -1;  // last call of changes() that found something to do
   bool changed_ = false;
-  uint64_t taken_ = 0;
+  uint64_t tables_applied_ = 0;
 };
 
 }  // namespace umberhoist::fleet
--- a/fleet/budget_wire.cpp
+++ b/fleet/budget_wire.cpp
@@ -13,20 +13,20 @@
 double rate_of(const json& value) {
   want(value.is_number());
   const double rate = value.get<double>();
-  want(std::isfinite(rate) && rate >= 0 && rate <= kMostRate);
+  want(std::isfinite(rate) && rate >= 0 && rate <= kMaxCallsPerSecond);
   return rate;
 }
 
-json read(std::string_view bytes) {
-  want(bytes.size() <= kMostBytes);
+json parse(std::string_view bytes) {
+  want(bytes.size() <= kMaxBudgetMessageBytes);
   return from_cbor(bytes);
 }
 
-// Three fields for each word, one after the other: no list around each.
-template <typename Word>
-std::vector<Word> words_of(const json& list) {
-  want(list.is_array() && list.size() % 3 == 0 && list.size() / 3 <= kMostWords);
-  std::vector<Word> out;
+// A flat list of three fields for each entry, which is smaller than nested lists.
+template <typename Entry>
+std::vector<Entry> entries_of(const json& list) {
+  want(list.is_array() && list.size() % 3 == 0 && list.size() / 3 <= kMaxBudgetsPerMessage);
+  std::vector<Entry> out;
   out.reserve(list.size() / 3);
   for (size_t i = 0; i < list.size(); i += 3) {
     out.push_back({number_of(list[i]), rate_of(list[i + 1]), rate_of(list[i + 2])});
@@ -38,46 +38,48 @@
 
 uint64_t budget_hash(std::string_view name) { return XXH64(name.data(), name.size(), 0); }
 
-double rate_down(double per_s) {
+double round_rate_down(double per_s) {
   if (!(per_s > 0)) return 0;
-  const double most = std::min(per_s, kMostRate);
-  const float near = static_cast<float>(most);
-  return static_cast<double>(near) > most ? static_cast<double>(std::nextafter(near, 0.0F))
-                                          : static_cast<double>(near);
+  const double limited = std::min(per_s, kMaxCallsPerSecond);
+  const float nearest = static_cast<float>(limited);
+  return static_cast<double>(nearest) > limited ? static_cast<double>(std::nextafter(nearest, 0.0F))
+                                                : static_cast<double>(nearest);
 }
 
-std::string Demands::packed() const {
+std::string DemandReport::encode() const {
   json list = json::array();
-  for (const Demand& d : words) {
+  for (const Demand& d : updates) {
     list.push_back(d.budget);
-    list.push_back(d.whole);
+    list.push_back(d.capacity);
     list.push_back(d.per_s);
   }
-  return to_cbor({life, floor, names, took_reign, took, base, number, list});
+  return to_cbor(
+      {incarnation, floor_share, relays, table_leader_term, table_version, base_version, version, list});
 }
 
-Demands Demands::of(std::string_view bytes) {
-  const json d = read(bytes);
-  Demands out{number_of(at(d, 0)), rate_of(at(d, 1)),   number_of(at(d, 2)), number_of(at(d, 3)),
-              number_of(at(d, 4)), number_of(at(d, 5)), number_of(at(d, 6)), words_of<Demand>(at(d, 7))};
-  want(out.floor <= 1 && out.names > 0 && out.base <= out.number);
+DemandReport DemandReport::decode(std::string_view bytes) {
+  const json d = parse(bytes);
+  DemandReport out{number_of(at(d, 0)), rate_of(at(d, 1)),           number_of(at(d, 2)),
+                   number_of(at(d, 3)), number_of(at(d, 4)),         number_of(at(d, 5)),
+                   number_of(at(d, 6)), entries_of<Demand>(at(d, 7))};
+  want(out.floor_share <= 1 && out.relays > 0 && out.base_version <= out.version);
   return out;
 }
 
-std::string Parts::packed() const {
+std::string ShareTable::encode() const {
   json list = json::array();
-  for (const Part& p : all) {
-    list.push_back(p.budget);
-    list.push_back(p.per_s);
-    list.push_back(p.whole);
+  for (const Share& s : shares) {
+    list.push_back(s.budget);
+    list.push_back(s.per_s);
+    list.push_back(s.capacity);
   }
-  return to_cbor({base, number, fresh ? 1U : 0U, heard, list});
+  return to_cbor({base_version, version, full ? 1U : 0U, acked_demand_version, list});
 }
 
-Parts Parts::of(std::string_view bytes) {
-  const json p = read(bytes);
+ShareTable ShareTable::decode(std::string_view bytes) {
+  const json p = parse(bytes);
   return {number_of(at(p, 0)), number_of(at(p, 1)), number_of(at(p, 2)) != 0, number_of(at(p, 3)),
-          words_of<Part>(at(p, 4))};
+          entries_of<Share>(at(p, 4))};
 }
 
 }  // namespace umberhoist::fleet
--- a/fleet/budget_wire.h
+++ b/fleet/budget_wire.h
@@ -1,13 +1,14 @@
-// What relays and the voters' leader tell each other of budgets: Demands ride on a renewal of the lease,
-// Parts on the grant that answers it. CBOR by the library; rates are calls a second, told as single floats
-// that are rounded down, so that what is counted is what is heard.
+// Budget messages between a relay and the voters' leader: a DemandReport is piggybacked on a lease renewal, a
+// ShareTable on the grant that answers it. CBOR; rates are calls a second, rounded down to single floats so
+// that the sender accounts for exactly the rate that the receiver decodes.
 //
-// Both are told by difference. Demands: each word on a budget has a number, which only grows in one life of a
-// holder; a message holds the words after `base`, and its `number` is that of the last in it. Base 0 begins
-// anew: what is not told again is gone. Parts: a relay's parts are a table with a number, which only grows in
-// one reign; a message makes table `number` out of table `base`, which the relay has shown that it holds.
+// Both are sent as deltas. DemandReport: each update of a budget has a version, which only grows within one
+// incarnation of a holder; a message holds the updates after `base_version`, and `version` is that of its
+// last one. Base 0 is a full report of all budgets with demand. ShareTable: versions only grow within
+// one leader term; a message turns table `base_version`, which the relay has confirmed, into table `version`.
 //
-// Bounds: at most kMostWords budgets in a message, kMostBytes bytes. What does not read throws Bad.
+// Limits: kMaxBudgetsPerMessage budgets and kMaxBudgetMessageBytes bytes a message. Decoding throws Bad if a
+// message is malformed.
 #pragma once
 
 #include <cstdint>
@@ -20,57 +21,58 @@
 
 namespace umberhoist::fleet {
 
-constexpr size_t kMostWords = 3000;
-constexpr size_t kMostBytes = 64 * 1024;
-constexpr size_t kMostBudgets = 4096;  // that a relay or leader knows
-constexpr double kMostRate = 1e9;      // calls a second
+constexpr size_t kMaxBudgetsPerMessage = 3000;
+constexpr size_t kMaxBudgetMessageBytes = 64 * 1024;
+constexpr size_t kMaxBudgets = 4096;        // known to a relay or a leader
+constexpr double kMaxCallsPerSecond = 1e9;  // a larger rate is malformed
 
 uint64_t budget_hash(std::string_view name);
-double rate_down(double per_s);  // the nearest rate that can be told and is not above it; at least 0
+double round_rate_down(double per_s);  // to a single float, at least 0 and at most kMaxCallsPerSecond
 
-// The part of `whole` that each of `names` relays has without talk: none where it is under a call a term.
-inline double floor_rate(double share, uint64_t names, double whole, Time term) {
-  const double rate = share / static_cast<double>(names) * whole;
-  return rate * static_cast<double>(term) < static_cast<double>(kSecond) ? 0 : rate;
+// The rate of a budget of `capacity` that each of `relays` may use without a lease. None below one call per
+// lease duration.
+inline double floor_rate(double floor_share, uint64_t relays, double capacity, Time lease_duration) {
+  const double rate = floor_share / static_cast<double>(relays) * capacity;
+  return rate * static_cast<double>(lease_duration) < static_cast<double>(kSecond) ? 0 : rate;
 }
 
 struct Demand {
-  uint64_t budget = 0;
-  double whole = 0;  // as this relay knows it; 0: the fleet's policy says it
-  double per_s = 0;  // wanted
+  uint64_t budget = 0;  // budget_hash of its name
+  double capacity = 0;  // as this relay knows it; 0: set by the fleet's policy
+  double per_s = 0;     // wanted
   bool operator==(const Demand&) const = default;
 };
 
-struct Demands {
-  uint64_t life = 0;        // of the holder
-  double floor = 0;         // share of each whole that is divided evenly
-  uint64_t names = 1;       // among so many
-  uint64_t took_reign = 0;  // the table held: of this reign,
-  uint64_t took = 0;        // with this number
-  uint64_t base = 0;
-  uint64_t number = 0;
-  std::vector<Demand> words;  // at most kMostWords
+struct DemandReport {
+  uint64_t incarnation = 0;        // of the holder
+  double floor_share = 0;          // share of each capacity that is divided evenly
+  uint64_t relays = 1;             // that it is divided among
+  uint64_t table_leader_term = 0;  // of the table that the relay holds
+  uint64_t table_version = 0;      // of that table
+  uint64_t base_version = 0;
+  uint64_t version = 0;
+  std::vector<Demand> updates;  // at most kMaxBudgetsPerMessage
 
-  std::string packed() const;
-  static Demands of(std::string_view bytes);
+  std::string encode() const;
+  static DemandReport decode(std::string_view bytes);
 };
 
-struct Part {
-  uint64_t budget = 0;
+struct Share {
+  uint64_t budget = 0;  // budget_hash of its name
   double per_s = 0;
-  double whole = 0;  // in force
-  bool operator==(const Part&) const = default;
+  double capacity = 0;  // in force
+  bool operator==(const Share&) const = default;
 };
 
-struct Parts {
-  uint64_t base = 0;
-  uint64_t number = 0;
-  bool fresh = false;     // nothing of table `base` is kept
-  uint64_t heard = 0;     // the last of the relay's words that the leader has
-  std::vector<Part> all;  // that differ; at most kMostWords
+struct ShareTable {
+  uint64_t base_version = 0;
+  uint64_t version = 0;
+  bool full = false;                  // replaces table `base_version` instead of changing it
+  uint64_t acked_demand_version = 0;  // of the relay's last update that the leader has received
+  std::vector<Share> shares;          // that differ from the base; at most kMaxBudgetsPerMessage
 
-  std::string packed() const;
-  static Parts of(std::string_view bytes);
+  std::string encode() const;
+  static ShareTable decode(std::string_view bytes);
 };
 
 }  // namespace umberhoist::fleet
--- a/fleet/leadership.cpp
+++ b/fleet/leadership.cpp
@@ -138,8 +138,8 @@
   const Time over = now + surely_over(g.lease);
   p.lease_until = std::max(p.lease_until, over);
   if (settings_.rider != nullptr && !r.ride.empty()) {
-    g.ride =
-        settings_.rider->answer(now, {r.origin, reign_, clear_, over, static_cast<Time>(p.reached)}, r.ride);
+    g.ride = settings_.rider->grant_payload(
+        now, {r.origin, reign_, clear_, over, static_cast<Time>(p.reached)}, r.ride);
   }
   return g;
 }
--- a/lab/budget_process.cpp
+++ b/lab/budget_process.cpp
@@ -21,52 +21,54 @@
 
 namespace {
 
-fleet::Divider::Settings divider_settings(int relays, Time period, Time term, fleet::Divider::Plant plant) {
-  fleet::Divider::Settings s{period, term, kPlayFloor, {}, plant};
-  for (int i = 0; i < relays; ++i) s.names.push_back(member_name(i));
+fleet::BudgetAllocator::Settings divider_settings(int relays, Time period, Time term,
+                                                  fleet::BudgetAllocator::InjectedFault plant) {
+  fleet::BudgetAllocator::Settings s{period, term, kPlayFloor, {}, plant};
+  for (int i = 0; i < relays; ++i) s.relay_names.push_back(member_name(i));
   return s;
 }
 
 }  // namespace
 
 BudgetProcess::BudgetProcess(int relay, int relays, uint64_t life, Time period, Time term,
-                             AgreementGuest::Clock clock, BudgetAudit& audit, fleet::Divider::Plant plant)
-    : BudgetRider({kPlayFloor, static_cast<uint64_t>(relays), period, term, life},
-                  divider_settings(relays, period, term, plant)),
+                             AgreementGuest::Clock clock, BudgetAudit& audit,
+                             fleet::BudgetAllocator::InjectedFault plant)
+    : BudgetPiggyback({kPlayFloor, static_cast<uint64_t>(relays), period, term, life},
+                      divider_settings(relays, period, term, plant)),
       relay_(relay),
       relays_(relays),
       term_(term),
       clock_(clock),
       audit_(audit) {
-  divider().wholes({{fleet::budget_hash(kPlayBudgets[3]), play_whole(3, relays)}});
+  allocator().set_policy_capacities({{fleet::budget_hash(kPlayBudgets[3]), play_whole(3, relays)}});
 }
 
 void BudgetProcess::knows(int budget, double whole) {
   known_[at(budget)] = whole;
-  holder().whole(kPlayBudgets[at(budget)], whole, budget != 3);
+  holder().set_capacity(kPlayBudgets[at(budget)], whole, budget != 3);
 }
 
-std::string BudgetProcess::ask(Time now) {
+std::string BudgetProcess::renewal_payload(Time now) {
   if (asked_ >= 0) {
     for (int b = 0; b < static_cast<int>(kPlayBudgets.size()); ++b) {
-      holder().asked(kPlayBudgets[at(b)],
-                     play_demand(b, relay_) * static_cast<double>(now - asked_) / kSecond);
+      holder().record_demand(kPlayBudgets[at(b)],
+                             play_demand(b, relay_) * static_cast<double>(now - asked_) / kSecond);
     }
   }
   asked_ = now;
-  std::string out = BudgetRider::ask(now);
+  std::string out = BudgetPiggyback::renewal_payload(now);
   told += out.size();
   return out;
 }
 
-std::string BudgetProcess::answer(Time now, const Renewal& renewal, std::string_view asked) {
-  std::string out = BudgetRider::answer(now, renewal, asked);
+std::string BudgetProcess::grant_payload(Time now, const Renewal& renewal, std::string_view asked) {
+  std::string out = BudgetPiggyback::grant_payload(now, renewal, asked);
   given += out.size();
   return out;
 }
 
-bool BudgetProcess::took(Time now, uint64_t reign, std::string_view bytes, Time until) {
-  const bool soon = BudgetRider::took(now, reign, bytes, until);
+bool BudgetProcess::on_grant(Time now, uint64_t reign, std::string_view bytes, Time until) {
+  const bool soon = BudgetPiggyback::on_grant(now, reign, bytes, until);
   audit_.look();
   return soon;
 }
--- a/lab/budget_process.h
+++ b/lab/budget_process.h
@@ -11,7 +11,7 @@
 #include <memory>
 #include <string>
 
-#include "../fleet/budget_rider.h"
+#include "../fleet/budget_piggyback.h"
 #include "agreement_guest.h"
 
 namespace umberhoist::lab {
@@ -24,18 +24,18 @@
 
 class BudgetAudit;
 
-class BudgetProcess : public fleet::BudgetRider {
+class BudgetProcess : public fleet::BudgetPiggyback {
  public:
   BudgetProcess(int relay, int relays, uint64_t life, Time period, Time term, AgreementGuest::Clock clock,
-                BudgetAudit& audit, fleet::Divider::Plant plant);
+                BudgetAudit& audit, fleet::BudgetAllocator::InjectedFault plant);
 
-  std::string ask(Time now) override;
-  std::string answer(Time now, const Renewal& renewal, std::string_view asked) override;
-  bool took(Time now, uint64_t reign, std::string_view bytes, Time until) override;
+  std::string renewal_payload(Time now) override;
+  std::string grant_payload(Time now, const Renewal& renewal, std::string_view asked) override;
+  bool on_grant(Time now, uint64_t reign, std::string_view bytes, Time until) override;
 
   void knows(int budget, double whole);
   double may(Time real, int budget) const {
-    return holder().may(clock_.local(real), kPlayBudgets[at(budget)]);
+    return holder().allowed_rate(clock_.local(real), kPlayBudgets[at(budget)]);
   }
   double floor(int budget) const;  // of it
 
--- a/lab/sim_budgets.cpp
+++ b/lab/sim_budgets.cpp
@@ -52,8 +52,9 @@
 
   std::unique_ptr<fleet::Machine> make(int member, uint64_t seed) {
     const auto m = static_cast<size_t>(member);
-    auto process = std::make_shared<BudgetProcess>(member, scenario_.relays, seed + 1, period_, term_,
-                                                   clocks_[m], audit_, fleet::Divider::Plant::kNothing);
+    auto process =
+        std::make_shared<BudgetProcess>(member, scenario_.relays, seed + 1, period_, term_, clocks_[m],
+                                        audit_, fleet::BudgetAllocator::InjectedFault::kNone);
     auto settings =
         agreement_settings(member, scenario_.relays, scenario_.voters(), period_, term_, folders_[m].build);
     settings.rider = process.get();
--- a/relay/budget_figures.cpp
+++ b/relay/budget_figures.cpp
@@ -22,25 +22,24 @@
 std::string BudgetLink::lines() const {
   const auto now = lease_now();
   std::string out = std::string("OK\nlease ") + (holder().leased(now) ? "granted" : "none") +
-                    " reign=" + std::to_string(holder().reign()) +
-                    " divides=" + std::to_string(divider().counts().budgets) + "\n";
-  for (const auto& [name, s] : holder().standing(now)) {
-    out += one_word(name) + " whole=" + rate(s.whole) + " part=" + rate(s.part) + " floor=" + rate(s.floor) +
-           " demand=" + rate(s.demand) + "\n";
+                    " reign=" + std::to_string(holder().leader_term()) +
+                    " divides=" + std::to_string(allocator().counts().budgets) + "\n";
+  for (const auto& [name, s] : holder().status(now)) {
+    out += one_word(name) + " whole=" + rate(s.capacity) + " part=" + rate(s.share) +
+           " floor=" + rate(s.floor) + " demand=" + rate(s.demand) + "\n";
   }
   return out + "END\n";
 }
 
 std::string BudgetLink::figures() const {
   const auto now = lease_now();
-  const auto all = holder().standing(now);
-  std::vector<std::pair<std::string, umberhoist::fleet::BudgetHolder::Standing>> shown(all.begin(),
-                                                                                       all.end());
+  const auto all = holder().status(now);
+  std::vector<std::pair<std::string, umberhoist::fleet::BudgetHolder::Status>> shown(all.begin(), all.end());
   std::ranges::stable_sort(shown, std::greater<>(), [](const auto& entry) { return entry.second.demand; });
-  umberhoist::fleet::BudgetHolder::Standing rest;
+  umberhoist::fleet::BudgetHolder::Status rest;
   for (size_t i = kMostSeries; i < shown.size(); ++i) {
-    rest.whole += shown[i].second.whole;
-    rest.part += shown[i].second.part;
+    rest.capacity += shown[i].second.capacity;
+    rest.share += shown[i].second.share;
     rest.floor += shown[i].second.floor;
     rest.demand += shown[i].second.demand;
   }
@@ -51,20 +50,20 @@
   std::string out;
   for (const auto& [name, s] : shown) {
     const std::string of = "{budget=\"" + one_word(name) + "\"} ";
-    out += "budget_whole" + of + rate(s.whole) + "\nbudget_part" + of + rate(s.part) + "\nbudget_floor" + of +
-           rate(s.floor) + "\nbudget_demand" + of + rate(s.demand) + "\n";
+    out += "budget_whole" + of + rate(s.capacity) + "\nbudget_part" + of + rate(s.share) + "\nbudget_floor" +
+           of + rate(s.floor) + "\nbudget_demand" + of + rate(s.demand) + "\n";
   }
   const auto line = [&](const char* name, uint64_t value) {
     out += std::string("budget_") + name + " " + std::to_string(value) + "\n";
   };
-  const auto counts = divider().counts();
+  const auto counts = allocator().counts();
   line("leased", holder().leased(now) ? 1 : 0);
-  line("tables_taken_total", holder().taken());
-  line("grants_out", counts.out);
-  line("grants_lowered_total", counts.lowered);
-  line("grants_lapsed_total", counts.lapsed);
-  line("grants_held_off_total", counts.held_off);
-  line("unreadable_total", BudgetRider::unreadable());
+  line("tables_taken_total", holder().tables_applied());
+  line("grants_out", counts.outstanding_shares);
+  line("grants_lowered_total", counts.shares_lowered);
+  line("grants_lapsed_total", counts.shares_expired);
+  line("grants_held_off_total", counts.answers_withheld);
+  line("unreadable_total", BudgetPiggyback::malformed());
   return out;
 }
 
--- a/relay/budget_link.cpp
+++ b/relay/budget_link.cpp
@@ -25,10 +25,10 @@
   return {fleet.budgets->floor, fleet.peers.size(), fleet.period, fleet.term, new_life()};
 }
 
-fleet::Divider::Settings divider_settings(const FleetSettings& fleet) {
-  fleet::Divider::Settings out{
-      fleet.period, fleet.term, fleet.budgets->floor, {}, fleet::Divider::Plant::kNothing};
-  for (const auto& peer : fleet.peers) out.names.push_back(peer.name);
+fleet::BudgetAllocator::Settings divider_settings(const FleetSettings& fleet) {
+  fleet::BudgetAllocator::Settings out{
+      fleet.period, fleet.term, fleet.budgets->floor, {}, fleet::BudgetAllocator::InjectedFault::kNone};
+  for (const auto& peer : fleet.peers) out.relay_names.push_back(peer.name);
   return out;
 }
 
@@ -40,7 +40,7 @@
 
 BudgetLink::BudgetLink(boost::asio::io_context& io, const Config& config, const Directory& directory,
                        Host host)
-    : BudgetRider(holder_settings(*config.fleet), divider_settings(*config.fleet)),
+    : BudgetPiggyback(holder_settings(*config.fleet), divider_settings(*config.fleet)),
       timer_(io),
       directory_(directory),
       host_(std::move(host)),
@@ -49,7 +49,7 @@
 }
 
 void BudgetLink::begin() {
-  holder().begin(new_life());
+  holder().begin_incarnation(new_life());
   tell();
 }
 
@@ -57,7 +57,7 @@
   const FleetSettings& fleet = *config.fleet;
   budgets_ = *fleet.budgets;
   holder().configure(budgets_.floor, fleet.peers.size());
-  divider().configure(divider_settings(fleet).names, budgets_.floor);
+  allocator().configure(divider_settings(fleet).relay_names, budgets_.floor);
   for (const TenantSettings& t : settings_.tenants) whole("tenant/" + t.name, 0, {Granted::Of::kTenant, 0});
   settings_ = config.settings;
   for (size_t i = 0; i < settings_.tenants.size(); ++i) {
@@ -72,14 +72,16 @@
 // ---- Wholes ----
 
 void BudgetLink::whole(const std::string& budget, double per_s, Place place) {
-  holder().whole(budget, per_s, true);
+  holder().set_capacity(budget, per_s, true);
   places_.insert_or_assign(budget, place);
-  if (too_many_ || holder().size() <= fleet::kMostBudgets) return;
+  if (too_many_ || holder().size() <= fleet::kMaxBudgets) return;
   too_many_ = true;
-  warn({kBudgetTooMany, budget, "is one more than " + std::to_string(fleet::kMostBudgets) + " budgets"});
+  warn({kBudgetTooMany, budget, "is one more than " + std::to_string(fleet::kMaxBudgets) + " budgets"});
 }
 
-void BudgetLink::share(const std::string& budget, double per_s) { holder().whole(budget, per_s, true); }
+void BudgetLink::share(const std::string& budget, double per_s) {
+  holder().set_capacity(budget, per_s, true);
+}
 
 void BudgetLink::list() {
   std::map<int, double> listed;
@@ -130,7 +132,7 @@
     of_policy[fleet::budget_hash(limit.budget)] = limit.per_s;
     whole(limit.budget, limit.per_s, {Granted::Of::kLimit, limit.number});
   }
-  divider().wholes(std::move(of_policy));
+  allocator().set_policy_capacities(std::move(of_policy));
 }
 
 // ---- What is wanted, and what there is ----
@@ -140,9 +142,9 @@
   for (const Event& event : events) {
     retuned = retuned || std::holds_alternative<Retuned>(event);
     if (const auto* a = std::get_if<Arrival>(&event)) {
-      holder().asked(dest(a->destination), 1);
+      holder().record_demand(dest(a->destination), 1);
       if (a->tenant >= 0 && a->tenant < static_cast<int>(settings_.tenants.size())) {
-        holder().asked("tenant/" + settings_.tenants[static_cast<size_t>(a->tenant)].name, 1);
+        holder().record_demand("tenant/" + settings_.tenants[static_cast<size_t>(a->tenant)].name, 1);
       }
     } else if (const auto* end = std::get_if<AttemptEnded>(&event)) {
       reported(*end);
@@ -152,11 +154,11 @@
   }
   tell();
   if (!retuned) return;
-  holder().say_again();  // the module begins its tenants anew
+  holder().republish_all();  // the module begins its tenants anew
   tell();
 }
 
-double BudgetLink::may(const std::string& budget) const { return holder().may(lease_now(), budget); }
+double BudgetLink::may(const std::string& budget) const { return holder().allowed_rate(lease_now(), budget); }
 
 void BudgetLink::tell() {
   const fleet::Time now = lease_now();
@@ -178,7 +180,7 @@
 }
 
 void BudgetLink::arm() {
-  const fleet::Time at = holder().next();
+  const fleet::Time at = holder().next_change_at();
   if (at == fleet::kNever) return;
   timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, at - lease_now())));
   timer_.async_wait([this](const boost::system::error_code& error) {
@@ -190,24 +192,24 @@
 
 // ---- On the leases ----
 
-std::string BudgetLink::ask(fleet::Time now) {
+std::string BudgetLink::renewal_payload(fleet::Time now) {
   take_limits();
   std::map<std::string, double> waiting;
   host_.waiting([&](const std::string& budget) { ++waiting[budget]; });
-  holder().waiting(waiting);
-  std::string out = BudgetRider::ask(now);
+  holder().set_waiting(waiting);
+  std::string out = BudgetPiggyback::renewal_payload(now);
   tell();
   return out;
 }
 
-std::string BudgetLink::answer(fleet::Time now, const Renewal& renewal, std::string_view asked) {
-  std::string out = BudgetRider::answer(now, renewal, asked);
+std::string BudgetLink::grant_payload(fleet::Time now, const Renewal& renewal, std::string_view asked) {
+  std::string out = BudgetPiggyback::grant_payload(now, renewal, asked);
   unreadable();
   return out;
 }
 
-bool BudgetLink::took(fleet::Time now, uint64_t reign, std::string_view bytes, fleet::Time until) {
-  const bool soon = BudgetRider::took(now, reign, bytes, until);
+bool BudgetLink::on_grant(fleet::Time now, uint64_t reign, std::string_view bytes, fleet::Time until) {
+  const bool soon = BudgetPiggyback::on_grant(now, reign, bytes, until);
   unreadable();
   tell();
   arm();
@@ -216,8 +218,8 @@
 
 void BudgetLink::unreadable() {
   const fleet::Time now = lease_now();
-  if (BudgetRider::unreadable() == unreadable_told_ || now - unreadable_at_ < kLineEvery) return;
-  unreadable_told_ = BudgetRider::unreadable();
+  if (BudgetPiggyback::malformed() == unreadable_told_ || now - unreadable_at_ < kLineEvery) return;
+  unreadable_told_ = BudgetPiggyback::malformed();
   unreadable_at_ = now;
   warn({kBudgetUnreadable, "fleet.budgets",
         "what another relay said does not read, " + std::to_string(unreadable_told_) + " times"});
--- a/relay/budget_link.h
+++ b/relay/budget_link.h
@@ -1,5 +1,5 @@
-// Binds the fleet's budgets (fleet/budget_rider) to this process: what wholes there are, how much of each is
-// wanted, and what the module is told of its parts. It rides on the leases of the fleet's policy.
+// Binds the fleet's budgets (fleet/budget_piggyback) to this process: what wholes there are, how much of each
+// is wanted, and what the module is told of its parts. It rides on the leases of the fleet's policy.
 //
 // Wholes: of a destination what the list says where its weights are nominal, or what a report said since; of
 // a tenant its quota; of a rule its limit, looked at with each renewal; of others what share() was. A
@@ -20,14 +20,14 @@
 #include <vector>
 
 #include "../access/limit_numbers.h"
-#include "../fleet/budget_rider.h"
+#include "../fleet/budget_piggyback.h"
 #include "budget_faults.h"
 #include "config.h"
 #include "firspool/ways.h"
 
 namespace firspool::relay {
 
-class BudgetLink : public umberhoist::fleet::BudgetRider {
+class BudgetLink : public umberhoist::fleet::BudgetPiggyback {
  public:
   static constexpr size_t kMostSeries = 64;  // of budgets in METRICS; the rest is summed
 
@@ -47,16 +47,17 @@
   // A budget that is not the module's; 0: there is none.
   void share(const std::string& budget, double per_s);
   // Calls that were wanted of a budget since, whether or not they could go out.
-  void wanted(const std::string& budget, double calls) { holder().asked(budget, calls); }
+  void wanted(const std::string& budget, double calls) { holder().record_demand(budget, calls); }
   double may(const std::string& budget) const;  // a second, now
 
   std::string lines() const;  // the reply to BUDGETS
   std::string figures() const;
 
-  std::string ask(umberhoist::fleet::Time now) override;
-  std::string answer(umberhoist::fleet::Time now, const Renewal& renewal, std::string_view asked) override;
-  bool took(umberhoist::fleet::Time now, uint64_t reign, std::string_view bytes,
-            umberhoist::fleet::Time until) override;
+  std::string renewal_payload(umberhoist::fleet::Time now) override;
+  std::string grant_payload(umberhoist::fleet::Time now, const Renewal& renewal,
+                            std::string_view asked) override;
+  bool on_grant(umberhoist::fleet::Time now, uint64_t reign, std::string_view bytes,
+                umberhoist::fleet::Time until) override;
 
  private:
   struct Destination {
--- a/relay/policy_link.h
+++ b/relay/policy_link.h
@@ -29,7 +29,7 @@
     std::function<std::string(const std::string& policy)> check;  // why it cannot be held here; empty: it can
     std::function<std::string(const std::string& policy)> fault;  // why it is no change to be proposed
     std::function<void(const std::string& policy)> adopt;         // these are the rules from now on
-    umberhoist::fleet::Rider* rider = nullptr;                    // goes along with the leases; outlives this
+    umberhoist::fleet::LeasePiggyback* rider = nullptr;           // goes along with the leases; outlives this
   };
 
   // Listens and begins. Throws std::exception where the address is taken.
--- a/tests/budget_machine.h
+++ b/tests/budget_clocks.h
@@ -1,4 +1,4 @@
-// The clocks of a machine, and a folder of a process on it.
+// Simulated clocks of a host, and a temporary folder for the journal of a process.
 #pragma once
 
 #include <stdlib.h>
@@ -15,24 +15,24 @@
 constexpr Time kSecond = 1000 * kMs;
 constexpr Time kHour = 3600 * kSecond;
 
-// A machine as processes see it. Only the test knows the true time.
-struct Machine {
-  Time truth = 0;
-  Time booted = -5 * kSecond;
-  Time wall_off = 1'800'000'000 * kSecond;
-  uint64_t boot = 1;
+// The clocks that the processes of one host read. Only the test knows the true time, which never steps.
+struct SimulatedClocks {
+  Time true_time = 0;
+  Time boot_time = -5 * kSecond;
+  Time wall_offset = 1'800'000'000 * kSecond;
+  uint64_t boot_id = 1;
 
-  Instant now() const { return {truth - booted, truth + wall_off, boot}; }
-  Time steady() const { return truth - booted; }
+  Instant now() const { return {true_time - boot_time, true_time + wall_offset, boot_id}; }
+  Time steady() const { return true_time - boot_time; }
 };
 
-class Folder {
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     std::string pattern = std::filesystem::temp_directory_path() / "umberhoist-budget-XXXXXX";
     path_ = ::mkdtemp(pattern.data());
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
   Place place() const { return std::move(*Place::take(path_, 0)); }
   std::filesystem::path journal() const { return path_ / "journal"; }
   std::string bytes() const {
--- a/tests/budget_link_test.cpp
+++ b/tests/budget_link_test.cpp
@@ -1,4 +1,5 @@
-// The relay's side of the fleet's budgets: its section, and what the module is told of its parts.
+// Connection of the relay to the fleet's budgets: its configuration section, and the shares that the decision
+// module receives.
 #include "budget_link.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
           {"budgets", {{"floor", 0.2}, {"burst_ms", 1500}}}};
 }
 
-TEST(BudgetSection, IsTurnedDownWholeWithItsKeyAndWhatToDo) {
+TEST(BudgetSection, IsRejectedAsAWholeAndNamesTheKey) {
   EXPECT_EQ(parse_fleet(section(), "n0", true).budgets->burst, 1'500'000);
   json none = section();
   none.erase("budgets");
@@ -39,10 +40,10 @@
       {{{"floor", 0.2}, {"burst_ms", 1000}, {"part", 1}}, "fleet.budgets.part"},
       {json("all"), "fleet.budgets"}};
   for (const auto& [budgets, key] : bad) {
-    json whole = section();
-    whole["budgets"] = budgets;
+    json fleet_section = section();
+    fleet_section["budgets"] = budgets;
     try {
-      parse_fleet(whole, "n0", true);
+      parse_fleet(fleet_section, "n0", true);
       ADD_FAILURE() << budgets;
     } catch (const umberhoist::Fault& fault) {
       EXPECT_EQ(fault.where(), key);
@@ -51,7 +52,7 @@
   }
 }
 
-TEST(BudgetFaults, EachHasItsRowForOnCallStaff) {
+TEST(BudgetFaults, EachHasARowOnTheOnCallPage) {
   std::ifstream file(ON_CALL);
   const std::string page{std::istreambuf_iterator<char>(file), {}};
   for (const auto& kind : kBudgetFaults)
@@ -68,7 +69,7 @@
     config.settings.report_limit = 0;
     config.names = {{"z"}, {"plain", "apart"}};
     BudgetLink::Host host;
-    host.grant = [this](const Granted& part) { parts[{part.of, part.number}] = part.per_s; };
+    host.grant = [this](const Granted& granted) { shares[{granted.of, granted.number}] = granted.per_s; };
     host.waiting = [](const std::function<void(const std::string&)>& each) { each("dest/7"); };
     host.limits = [this] { return limits; };
     link.emplace(io, config, directory, host);
@@ -85,63 +86,64 @@
     }
     link->hear({*directory.apply(all)});
   }
-  double part(Granted::Of of, int number) {
-    const auto it = parts.find({of, number});
-    return it == parts.end() ? -2 : it->second;
+  double share(Granted::Of of, int number) {
+    const auto it = shares.find({of, number});
+    return it == shares.end() ? -2 : it->second;
   }
 
   boost::asio::io_context io;
   Config config;
   Directory directory;
-  std::map<std::pair<Granted::Of, int>, double> parts;
+  std::map<std::pair<Granted::Of, int>, double> shares;
   std::vector<umberhoist::access::Limit> limits;
   std::optional<BudgetLink> link;
 };
 
-TEST_F(BudgetLinkTest, AloneItHasItsFloorOfWhatTheListOrAReportSays) {
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kTenant, 1), 2);
-  EXPECT_EQ(part(Granted::Of::kTenant, 0), -2);  // without a quota there is no whole
+TEST_F(BudgetLinkTest, WithoutALeaseItHasItsFloorOfTheListedOrReportedCapacity) {
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kTenant, 1), 2);
+  EXPECT_EQ(share(Granted::Of::kTenant, 0), -2);  // without a quota there is no capacity
   list(1, {{7, 100}, {8, 2}, {9, 50}});
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 10);
-  EXPECT_EQ(part(Granted::Of::kDestination, 8), 0);   // under a call a term there is no floor
-  EXPECT_EQ(part(Granted::Of::kDestination, 9), -2);  // routes apart have limits of their own
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kDestination, 7), 10);
+  EXPECT_EQ(share(Granted::Of::kDestination, 8), 0);   // no floor below one call per lease duration
+  EXPECT_EQ(share(Granted::Of::kDestination, 9), -2);  // independent endpoints have limits of their own
   AttemptEnded end;
   end.endpoint = directory.hosts().begin()->first;
   end.report = {40};
   link->hear({end});
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 4);
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kDestination, 7), 4);
   list(2, {{8, 2}});
-  EXPECT_LT(part(Granted::Of::kDestination, 7), 0);  // not listed: no budget, and the module is told so
+  EXPECT_LT(share(Granted::Of::kDestination, 7), 0);  // not listed: its budget is withdrawn
   limits = {{3, "rule/a/slow", 30}};
-  link->ask(lease_now());
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kLimit, 3), 3);
+  link->renewal_payload(lease_now());
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kLimit, 3), 3);
   EXPECT_DOUBLE_EQ(link->may("rule/a/slow"), 3);
-  parts.erase({Granted::Of::kTenant, 1});
-  link->hear({Retuned{config.settings}});  // the module begins its tenants anew
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kTenant, 1), 2);
+  shares.erase({Granted::Of::kTenant, 1});
+  link->hear({Retuned{config.settings}});  // the module has lost its tenant shares
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kTenant, 1), 2);
   limits.clear();
-  link->ask(lease_now());
-  EXPECT_LT(part(Granted::Of::kLimit, 3), 0);
+  link->renewal_payload(lease_now());
+  EXPECT_LT(share(Granted::Of::kLimit, 3), 0);
 }
 
-TEST_F(BudgetLinkTest, ItTellsWhatIsWantedAndTheModuleHearsItsPartUntilTheLeaseIsOver) {
+TEST_F(BudgetLinkTest, ReportsDemandAndGrantsTheShareUntilTheLeaseEnds) {
   list(1, {{7, 100}, {8, 2}});
   Arrival arrival;
   arrival.destination = 8;
   link->hear({arrival, arrival});
   const fleet::Time now = lease_now();
-  const fleet::Demands told = fleet::Demands::of(link->ask(now));
-  ASSERT_EQ(told.words.size(), 2u);  // one waits for 7, two came for 8
-  for (const auto& word : told.words) EXPECT_GT(word.per_s, 0);
-  const fleet::Part granted{fleet::budget_hash("dest/7"), 35, 100};
-  link->took(now, 5, fleet::Parts{0, 1, false, told.number, {granted}}.packed(), now + 200 * fleet::kMs);
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 45);
-  link->took(now, 5, "no parts", now + fleet::kSecond);
+  const fleet::DemandReport report = fleet::DemandReport::decode(link->renewal_payload(now));
+  ASSERT_EQ(report.updates.size(), 2u);  // one message waits for 7, two arrived for 8
+  for (const auto& update : report.updates) EXPECT_GT(update.per_s, 0);
+  const fleet::Share granted{fleet::budget_hash("dest/7"), 35, 100};
+  link->on_grant(now, 5, fleet::ShareTable{0, 1, false, report.version, {granted}}.encode(),
+                 now + 200 * fleet::kMs);
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kDestination, 7), 45);
+  link->on_grant(now, 5, "no parts", now + fleet::kSecond);
   EXPECT_NE(link->lines().find("dest/7 whole=100.0 part=35.0 floor=10.0 demand="), std::string::npos)
       << link->lines();
   EXPECT_NE(link->figures().find("budget_unreadable_total 1\n"), std::string::npos);
-  io.run_for(std::chrono::milliseconds(400));  // nothing comes any more: its own timer says so
-  EXPECT_DOUBLE_EQ(part(Granted::Of::kDestination, 7), 10);
+  io.run_for(std::chrono::milliseconds(400));  // no more grants: its own timer ends the share
+  EXPECT_DOUBLE_EQ(share(Granted::Of::kDestination, 7), 10);
 }
 
 }  // namespace
--- a/tests/budget_process.h
+++ b/tests/budget_process.h
@@ -1,21 +1,21 @@
-// The stages that a message's time runs through, in one process.
+// A simulated relay process that takes messages through all stages that use up their time budget.
 #pragma once
 
 #include <deque>
 #include <map>
 #include <vector>
 
-#include "budget_machine.h"
+#include "budget_clocks.h"
 #include "relay.h"
 
 namespace firspool::relay {
 
-// What the relay does with module and journal, on the machine's clocks.
+// Drives the decision module and the journal as the relay does, on simulated clocks.
 class Process {
  public:
-  Process(Machine& machine, const Folder& folder, const Settings& settings, uint64_t seed)
-      : machine_(machine),
-        journal_(folder.place(), 500'000, [&] { return machine.now(); }),
+  Process(SimulatedClocks& clocks, const TemporaryFolder& folder, const Settings& settings, uint64_t seed)
+      : clocks_(clocks),
+        journal_(folder.place(), 500'000, [&] { return clocks.now(); }),
         policy_(settings, seed),
         rules_(message_rules(settings)) {
     for (const Recovered& entry : journal_.recovered()) resume(entry);
@@ -27,82 +27,82 @@
     events_.push_back(list);
   }
 
-  struct Out {
+  struct Call {
     Send send;
     std::string id;
     int attempt = 0;
-    Time up = 0;  // on the steady clock: when its connection is up
-    bool begun = false;
-    Time ends = 0;
+    Time connected_at = 0;  // on the steady clock
+    bool started = false;
+    Time ends_at = 0;
     Outcome outcome = Outcome::kOk;
-    Time wait = 0;
+    Time retry_after = 0;
   };
 
-  // Told by the test.
-  std::function<void(const std::string& id, Time left)> seen;
-  std::function<void(const std::string& id, Time left)> recorded;  // what is left as a record is written
-  std::function<void(const std::string& id)> started;
-  std::function<void(const std::string& id, char how)> ended;
-  std::function<void(Out&)> draw;
+  // Set by the test. `how`: d for done, r for refused, f for failed.
+  std::function<void(const std::string& id, Time left)> on_remaining;  // for each held message, after a step
+  std::function<void(const std::string& id, Time left)> on_recorded;   // when a journal record is written
+  std::function<void(const std::string& id)> on_started;
+  std::function<void(const std::string& id, char how)> on_ended;
+  std::function<void(Call&)> plan_call;
 
   bool put(const std::string& id, int message_class, Time given) {
-    Handed handed{id, rules_[message_class]->name, "k", 1, Budget::begin(machine_.steady(), given), "b",
+    Handed handed{id, rules_[message_class]->name, "k", 1, Budget::begin(clocks_.steady(), given), "b",
                   "", rules_[message_class]};
-    Arrival in;
-    in.id = ++last_;
-    in.rules = handed.rules;
-    in.due = handed.budget.due();
-    in.destination = 1;
-    held_[last_] = {handed, 0};
-    fresh_.push_back(last_);
-    events_.push_back(in);
+    Arrival arrival;
+    arrival.id = ++last_number_;
+    arrival.rules = handed.rules;
+    arrival.due = handed.budget.due();
+    arrival.destination = 1;
+    held_[last_number_] = {handed, 0};
+    unjournaled_.push_back(last_number_);
+    events_.push_back(arrival);
     step();
-    return held_.contains(in.id);
+    return held_.contains(arrival.id);
   }
 
   void step() {
-    const Time now = machine_.steady();
-    for (auto it = out_.begin(); it != out_.end();) {
-      Out& out = *it;
-      if (!out.begun && (out.up <= now || out.send.start_by < now)) begin(out);
-      const bool over = out.begun ? out.ends <= now : out.outcome == Outcome::kUnsent;
-      if (!over) {
+    const Time now = clocks_.steady();
+    for (auto it = in_flight_.begin(); it != in_flight_.end();) {
+      Call& call = *it;
+      if (!call.started && (call.connected_at <= now || call.send.start_by < now)) start_call(call);
+      const bool ended = call.started ? call.ends_at <= now : call.outcome == Outcome::kUnsent;
+      if (!ended) {
         ++it;
         continue;
       }
-      const Out done = out;
-      it = out_.erase(it);
+      const Call done = call;
+      it = in_flight_.erase(it);
       finish(done);
     }
     std::vector<Event> events;
     events.swap(events_);
     std::vector<Action> actions;
     policy_.step(now, events, actions);
-    for (const Action& action : actions) carry_out(action);
-    for (const uint64_t number : std::exchange(fresh_, {})) {
+    for (const Action& action : actions) execute(action);
+    for (const uint64_t number : std::exchange(unjournaled_, {})) {
       const auto held = held_.find(number);
       if (held == held_.end()) continue;
       ASSERT_TRUE(journal_.accepted(held->second.handed));
-      wrote();
+      report_recorded();
     }
     for (const Send& send : std::exchange(sends_, {})) {
       const auto held = held_.find(send.id);
       if (held == held_.end()) continue;
-      Out out;
-      out.send = send;
-      out.id = held->second.handed.id;
-      out.attempt = held->second.attempts++;
-      draw(out);
-      out_.push_back(out);
+      Call call;
+      call.send = send;
+      call.id = held->second.handed.id;
+      call.attempt = held->second.attempts++;
+      plan_call(call);
+      in_flight_.push_back(call);
     }
-    for (const auto& [number, held] : held_) seen(held.handed.id, held.handed.budget.left(now));
+    for (const auto& [number, held] : held_) on_remaining(held.handed.id, held.handed.budget.left(now));
   }
 
   size_t held() const { return held_.size(); }
 
-  void wrote() const {
+  void report_recorded() const {
     for (const auto& [number, held] : held_)
-      recorded(held.handed.id, held.handed.budget.left(machine_.steady()));
+      on_recorded(held.handed.id, held.handed.budget.left(clocks_.steady()));
   }
 
  private:
@@ -112,57 +112,57 @@
   };
 
   void resume(const Recovered& entry) {
-    if (entry.owed) {  // its end was told before; it is only told again
+    if (entry.owed) {  // it has ended before the restart; only the notice is repeated
       journal_.done(entry.message.id);
       return;
     }
-    Arrival in;
-    in.id = ++last_;
-    in.rules = entry.message.rules;
-    in.due = entry.message.budget.due();
-    in.destination = 1;
-    in.attempts = entry.attempts;
+    Arrival arrival;
+    arrival.id = ++last_number_;
+    arrival.rules = entry.message.rules;
+    arrival.due = entry.message.budget.due();
+    arrival.destination = 1;
+    arrival.attempts = entry.attempts;
     if (!entry.unsettled.empty()) {
-      in.ran = true;
-      in.ran_sent = entry.unsettled.begin()->second.first;
+      arrival.ran = true;
+      arrival.ran_sent = entry.unsettled.begin()->second.first;
     }
-    held_[last_] = {entry.message, entry.attempts};
-    events_.push_back(in);
+    held_[last_number_] = {entry.message, entry.attempts};
+    events_.push_back(arrival);
   }
 
-  // As Relay::may_start.
-  void begin(Out& out) {
-    const Time now = machine_.steady();
-    const auto held = held_.find(out.send.id);
-    if (held == held_.end() || now > out.send.start_by || held->second.handed.budget.over(now) ||
-        !journal_.attempt(out.id, out.attempt, 0)) {
-      out.outcome = Outcome::kUnsent;
+  // Same checks as Relay::may_start.
+  void start_call(Call& call) {
+    const Time now = clocks_.steady();
+    const auto held = held_.find(call.send.id);
+    if (held == held_.end() || now > call.send.start_by || held->second.handed.budget.over(now) ||
+        !journal_.attempt(call.id, call.attempt, 0)) {
+      call.outcome = Outcome::kUnsent;
       if (held != held_.end()) --held->second.attempts;
       return;
     }
-    out.begun = true;
-    wrote();
-    started(out.id);
+    call.started = true;
+    report_recorded();
+    on_started(call.id);
   }
 
-  void finish(const Out& out) {
-    const auto held = held_.find(out.send.id);
+  void finish(const Call& call) {
+    const auto held = held_.find(call.send.id);
     AttemptEnded end;
-    end.id = out.send.id;
-    end.attempt = out.attempt;
-    end.endpoint = out.send.endpoint;
-    end.outcome = out.outcome;
-    end.final = out.outcome == Outcome::kOk;
+    end.id = call.send.id;
+    end.attempt = call.attempt;
+    end.endpoint = call.send.endpoint;
+    end.outcome = call.outcome;
+    end.final = call.outcome == Outcome::kOk;
     end.took = 50 * kMs;
-    end.wait = out.wait;
+    end.wait = call.retry_after;
     if (held != held_.end()) {
-      if (out.begun && out.outcome == Outcome::kFull) journal_.never_ran(out.id, out.attempt);
-      if (end.final) over(held, 'd');
+      if (call.started && call.outcome == Outcome::kFull) journal_.never_ran(call.id, call.attempt);
+      if (end.final) end_message(held, 'd');
     }
     events_.push_back(end);
   }
 
-  void carry_out(const Action& action) {
+  void execute(const Action& action) {
     if (const auto* send = std::get_if<Send>(&action)) {
       sends_.push_back(*send);
       return;
@@ -171,27 +171,27 @@
     const auto* fail = std::get_if<Fail>(&action);
     if (refuse == nullptr && fail == nullptr) return;
     const auto held = held_.find(refuse != nullptr ? refuse->id : fail->id);
-    if (held != held_.end()) over(held, refuse != nullptr ? 'r' : 'f');
+    if (held != held_.end()) end_message(held, refuse != nullptr ? 'r' : 'f');
   }
 
-  void over(std::map<uint64_t, Held>::iterator held, char how) {
+  void end_message(std::map<uint64_t, Held>::iterator held, char how) {
     const std::string id = held->second.handed.id;
     if (how != 'd') journal_.owed({id, how == 'r', 0});
     if (how == 'd') journal_.done(id);
     held_.erase(held);
-    ended(id, how);
+    on_ended(id, how);
   }
 
-  Machine& machine_;
+  SimulatedClocks& clocks_;
   Journal journal_;
   Policy policy_;
   std::vector<std::shared_ptr<const MessageRules>> rules_;
   std::vector<Event> events_;
   std::vector<Send> sends_;
-  std::vector<uint64_t> fresh_;
-  std::deque<Out> out_;
+  std::vector<uint64_t> unjournaled_;
+  std::deque<Call> in_flight_;
   std::map<uint64_t, Held> held_;
-  uint64_t last_ = 0;
+  uint64_t last_number_ = 0;
 };
 
 }  // namespace firspool::relay
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -1,18 +1,18 @@
-// One time budget for each message, over stages, restarts and steps of the clocks.
+// The time budget of a message over stages, restarts and clock steps.
 #include "budget.h"
 
 #include <boost/crc.hpp>
 #include <cstring>
 
-#include "budget_machine.h"
+#include "budget_clocks.h"
 #include "gtest/gtest.h"
 
 namespace firspool::relay {
 namespace {
 
-TEST(Budget, BeginsWhereTheRequestWasRead) {
+TEST(Budget, StartsWhenTheRequestIsRead) {
   const Budget budget = Budget::begin(10 * kSecond, 3 * kSecond);
-  EXPECT_EQ(budget.due(), 13 * kSecond - 2 * kMs);  // its way here took some
+  EXPECT_EQ(budget.due(), 13 * kSecond - 2 * kMs);  // 2 ms are deducted for the way here
   EXPECT_EQ(budget.left(12 * kSecond), kSecond - 2 * kMs);
   EXPECT_EQ(budget.left(14 * kSecond), 0);
   EXPECT_TRUE(budget.over(13 * kSecond));
@@ -21,7 +21,7 @@
   EXPECT_EQ(Budget::begin(kSecond, std::numeric_limits<Time>::max()).left(kSecond), Budget::kMost - 2 * kMs);
 }
 
-TEST(Budget, IsToldInAUnitThatIsNeverMoreThanIsLeft) {
+TEST(Budget, TextIsRoundedDownToItsUnit) {
   EXPECT_EQ(budget_text(0), "0u");
   EXPECT_EQ(budget_text(1), "1u");
   EXPECT_EQ(budget_text(9'999), "9999u");
@@ -30,7 +30,7 @@
   EXPECT_EQ(budget_text(-5), "0u");
 }
 
-TEST(Clocks, InOneBootOnlyTheSteadyOneCounts) {
+TEST(Clocks, WithinOneBootOnlyTheSteadyClockCounts) {
   const Instant then{100 * kSecond, 1'000 * kHour, 7};
   for (const Time step : {-kHour, Time{0}, kHour}) {
     EXPECT_EQ(here(then, {105 * kSecond, 1'000 * kHour + 5 * kSecond + step, 7}), 100 * kSecond);
@@ -41,18 +41,18 @@
   const Instant then{100 * kSecond, 1'000 * kHour, 7};
   EXPECT_EQ(here(then, {3 * kSecond, 1'000 * kHour + 5 * kSecond, 8}), -2 * kSecond);
   EXPECT_EQ(here(then, {3 * kSecond, 999 * kHour, 8}), 3 * kSecond);
-  EXPECT_EQ(here({100, 5, 0}, {200, 6, 0}), 199);  // not known: no boot is the same
+  EXPECT_EQ(here({100, 5, 0}, {200, 6, 0}), 199);  // boot 0 is unknown and never matches
 }
 
 class JournalTimes : public ::testing::Test {
  protected:
   Clock clock() {
-    return [this] { return machine_.now(); };
+    return [this] { return clocks_.now(); };
   }
-  // A message that is given so long now, and a first attempt.
-  void take(Time given) {
+  // Journals a message with this time budget and its first attempt.
+  void record_message(Time budget) {
     Journal journal(folder_.place(), 500'000, clock());
-    Handed message{"a", "keyed", "key", 7, Budget::begin(machine_.steady(), given), "body", "acme", rules_};
+    Handed message{"a", "keyed", "key", 7, Budget::begin(clocks_.steady(), budget), "body", "acme", rules_};
     ASSERT_TRUE(journal.accepted(message));
     ASSERT_TRUE(journal.attempt("a", 0, 1));
   }
@@ -60,16 +60,16 @@
     Journal journal(folder_.place(), 500'000, clock());
     return journal.recovered().at(0);
   }
-  Time left() { return recovered().message.budget.left(machine_.steady()); }
-  void reboot(Time down, Time step) {
-    machine_.truth += down;
-    machine_.booted = machine_.truth;
-    machine_.wall_off += step;
-    ++machine_.boot;
+  Time remaining() { return recovered().message.budget.left(clocks_.steady()); }
+  void reboot(Time downtime, Time step) {
+    clocks_.true_time += downtime;
+    clocks_.boot_time = clocks_.true_time;
+    clocks_.wall_offset += step;
+    ++clocks_.boot_id;
   }
 
-  Folder folder_;
-  Machine machine_;
+  TemporaryFolder folder_;
+  SimulatedClocks clocks_;
   std::shared_ptr<const MessageRules> rules_ = [] {
     MessageRules rules;
     rules.give_up = 30 * kSecond;
@@ -77,43 +77,44 @@
   }();
 };
 
-TEST_F(JournalTimes, AStepOfTheWallClockBetweenTwoProcessesChangesNothing) {
+TEST_F(JournalTimes, AWallClockStepBetweenTwoProcessesChangesNothing) {
   for (const Time step : {-kHour, kHour}) {
-    take(20 * kSecond);
-    const Time sent = machine_.steady();
-    machine_.truth += 4 * kSecond;
-    machine_.wall_off += step;
-    EXPECT_EQ(left(), 16 * kSecond - 2 * kMs);
+    record_message(20 * kSecond);
+    const Time sent = clocks_.steady();
+    clocks_.true_time += 4 * kSecond;
+    clocks_.wall_offset += step;
+    EXPECT_EQ(remaining(), 16 * kSecond - 2 * kMs);
     EXPECT_EQ(recovered().unsettled.at(0).first, sent);
-    machine_.wall_off -= step;
+    clocks_.wall_offset -= step;
     Journal(folder_.place(), 500'000, clock()).done("a");
   }
 }
 
-TEST_F(JournalTimes, AfterABootTheTimeDownCountsAsTheWallClockHasIt) {
-  take(20 * kSecond);
+TEST_F(JournalTimes, AfterABootTheDowntimeCountsByTheWallClock) {
+  record_message(20 * kSecond);
   reboot(4 * kSecond, 0);
-  EXPECT_EQ(left(), 16 * kSecond - 2 * kMs);
-  EXPECT_EQ(machine_.steady() - recovered().unsettled.at(0).first, 4 * kSecond);
+  EXPECT_EQ(remaining(), 16 * kSecond - 2 * kMs);
+  EXPECT_EQ(clocks_.steady() - recovered().unsettled.at(0).first, 4 * kSecond);
 }
 
-TEST_F(JournalTimes, NoBootLeavesMoreThanWasLeft) {
-  take(20 * kSecond);
+TEST_F(JournalTimes, ABootNeverIncreasesTheRemainingBudget) {
+  record_message(20 * kSecond);
   reboot(4 * kSecond, -kHour);
-  EXPECT_EQ(left(), 20 * kSecond - 2 * kMs);  // that much was left at the last record
-  machine_.truth += 5 * kSecond;
-  EXPECT_EQ(left(), 15 * kSecond - 2 * kMs);
+  EXPECT_EQ(remaining(), 20 * kSecond - 2 * kMs);  // as much as at the last record
+  clocks_.true_time += 5 * kSecond;
+  EXPECT_EQ(remaining(), 15 * kSecond - 2 * kMs);
   reboot(0, -kHour);
-  EXPECT_LE(left(), 20 * kSecond - 2 * kMs);
+  EXPECT_LE(remaining(), 20 * kSecond - 2 * kMs);
 }
 
-TEST_F(JournalTimes, ABootThatSetsTheClockForwardEndsAMessageByNoMoreThanThat) {
-  take(20 * kSecond);
+TEST_F(JournalTimes, AForwardClockStepAtBootShortensABudgetByNoMoreThanTheStep) {
+  record_message(20 * kSecond);
   reboot(4 * kSecond, 10 * kSecond);
-  EXPECT_EQ(left(), 6 * kSecond - 2 * kMs);
+  EXPECT_EQ(remaining(), 6 * kSecond - 2 * kMs);
 }
 
-// Without its last `cut` bytes a record is one of the version before.
+// Removes the last `cut` bytes from records of this kind, which turns them into records of the previous
+// version.
 std::string shortened(const std::string& bytes, char kind, size_t cut) {
   std::string out;
   for (size_t at = 0; at < bytes.size();) {
@@ -131,22 +132,22 @@
   return out;
 }
 
-TEST_F(JournalTimes, RecordsOfTheVersionBeforeGoByTheWallClock) {
-  take(20 * kSecond);
+TEST_F(JournalTimes, RecordsOfThePreviousVersionUseTheWallClock) {
+  record_message(20 * kSecond);
   folder_.write(shortened(shortened(folder_.bytes(), 'A', 32), 'T', 24));
-  machine_.truth += 4 * kSecond;
-  EXPECT_EQ(left(), 16 * kSecond - 2 * kMs);
-  EXPECT_EQ(machine_.steady() - recovered().unsettled.at(0).first, 4 * kSecond);
-  // And once read, by the steady one.
-  machine_.wall_off += kHour;
-  EXPECT_EQ(left(), 16 * kSecond - 2 * kMs);
+  clocks_.true_time += 4 * kSecond;
+  EXPECT_EQ(remaining(), 16 * kSecond - 2 * kMs);
+  EXPECT_EQ(clocks_.steady() - recovered().unsettled.at(0).first, 4 * kSecond);
+  // Once read, it counts by the steady clock.
+  clocks_.wall_offset += kHour;
+  EXPECT_EQ(remaining(), 16 * kSecond - 2 * kMs);
 }
 
-TEST_F(JournalTimes, RecordsOfTheVersionBeforeHaveNoMoreThanTheirClassGives) {
-  take(20 * kSecond);
+TEST_F(JournalTimes, RecordsOfThePreviousVersionAreLimitedByTheirClass) {
+  record_message(20 * kSecond);
   folder_.write(shortened(shortened(folder_.bytes(), 'A', 32), 'T', 24));
-  machine_.wall_off -= kHour;
-  EXPECT_EQ(left(), 30 * kSecond);
+  clocks_.wall_offset -= kHour;
+  EXPECT_EQ(remaining(), 30 * kSecond);
 }
 
 }  // namespace
--- a/tests/fleet/budgets_play_test.cpp
+++ b/tests/fleet/budgets_play_test.cpp
@@ -1,5 +1,5 @@
-// Budgets on the real agreement, on the simulated clock and network: the lab's play of random faults, and the
-// renewal's and the grant's riders beside builds that know none.
+// Budgets on the real agreement with simulated clock and network: the lab's runs of random faults, and
+// renewals and grants whose piggybacked payload an older build does not know.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,7 +11,7 @@
 namespace umberhoist::lab {
 namespace {
 
-TEST(BudgetsPlays, RandomFaultsBreakNothing) {
+TEST(BudgetsPlays, AllOraclesHoldUnderRandomFaults) {
   const char* wanted = std::getenv("SIM_SEEDS");
   const int seeds = wanted == nullptr ? 20 : std::atoi(wanted);
   for (const int relays : {3, 5, 30}) {
@@ -26,43 +26,45 @@
   }
 }
 
-// Leases break where clocks go apart further than they allow for: the audit sees it.
-TEST(BudgetsPlays, TheAuditSeesTwoThatHoldOneWhole) {
+// The audit must detect two relays with the same share, as after clocks drifted further than leases allow.
+TEST(BudgetsPlays, TheAuditDetectsTwoRelaysThatHoldTheSameShare) {
   Time now = 0;
   BudgetAudit audit(2, 500 * fleet::kMs, 3 * fleet::kSecond, [&] { return now; });
   for (int r = 0; r < 2; ++r) {
-    audit.begins(
-        r, std::make_shared<BudgetProcess>(r, 2, r + 1, 500 * fleet::kMs, 3 * fleet::kSecond,
-                                           AgreementGuest::Clock{}, audit, fleet::Divider::Plant::kNothing));
+    audit.begins(r, std::make_shared<BudgetProcess>(r, 2, r + 1, 500 * fleet::kMs, 3 * fleet::kSecond,
+                                                    AgreementGuest::Clock{}, audit,
+                                                    fleet::BudgetAllocator::InjectedFault::kNone));
   }
   const uint64_t even = fleet::budget_hash(kPlayBudgets[0]);
-  const double part = fleet::rate_down(play_whole(0, 2) * 0.5);
+  const double half = fleet::round_rate_down(play_whole(0, 2) * 0.5);
   for (int r = 0; r < 2; ++r) {
     EXPECT_EQ(audit.broken(), "");
-    audit.process(r)->took(now, 1, fleet::Parts{0, 1, false, 0, {{even, part, 40}}}.packed(), fleet::kSecond);
+    audit.process(r)->on_grant(now, 1, fleet::ShareTable{0, 1, false, 0, {{even, half, 40}}}.encode(),
+                               fleet::kSecond);
   }
-  EXPECT_NE(audit.broken(), "");  // two halves and the floors
+  EXPECT_NE(audit.broken(), "");  // two halves and the floors exceed the capacity
 }
 
-TEST(Holder, TellsAgainWhatALeaderHasForgotten) {
+TEST(BudgetHolder, ReportsAgainWhatTheLeaderHasNotAcknowledged) {
   fleet::BudgetHolder holder({0.2, 1, 500 * fleet::kMs, 3 * fleet::kSecond, 1});
-  holder.whole("b", 50, true);
-  holder.asked("b", 100);
-  const fleet::Demands first = holder.tell(fleet::kSecond);
-  ASSERT_EQ(first.words.size(), 1u);
-  holder.took(fleet::kSecond, 1, {0, 0, false, first.number, {}}, 2 * fleet::kSecond);
-  EXPECT_TRUE(holder.tell(fleet::kSecond).words.empty());
-  holder.took(fleet::kSecond, 1, {0, 0, false, 0, {}}, 2 * fleet::kSecond);
-  EXPECT_EQ(holder.tell(fleet::kSecond).words, first.words);
+  holder.set_capacity("b", 50, true);
+  holder.record_demand("b", 100);
+  const fleet::DemandReport first = holder.demand_report(fleet::kSecond);
+  ASSERT_EQ(first.updates.size(), 1u);
+  holder.apply_table(fleet::kSecond, 1, {0, 0, false, first.version, {}}, 2 * fleet::kSecond);
+  EXPECT_TRUE(holder.demand_report(fleet::kSecond).updates.empty());
+  holder.apply_table(fleet::kSecond, 1, {0, 0, false, 0, {}}, 2 * fleet::kSecond);
+  EXPECT_EQ(holder.demand_report(fleet::kSecond).updates, first.updates);
 }
 
-TEST(AgreementRiders, AreNotInTheMessageWhereThereIsNone) {
+TEST(LeasePiggyback, AnEmptyPayloadIsLeftOutOfTheMessage) {
   fleet::Renew renew;
   fleet::Grant grant;
   const size_t old_renew = renew.packed().size(), old_grant = grant.packed().size();
   EXPECT_EQ(fleet::Renew::of(renew.packed()).ride, "");
   renew.ride = grant.ride = std::string("\0\xff", 2);
-  EXPECT_EQ(renew.packed().size(), old_renew + 1);  // an older build reads what is before it
+  // One field is appended, so an older build can read the fields before it.
+  EXPECT_EQ(renew.packed().size(), old_renew + 1);
   EXPECT_EQ(grant.packed().size(), old_grant + 1);
   EXPECT_EQ(fleet::Renew::of(fleet::from_cbor(fleet::to_cbor(renew.packed()))).ride, renew.ride);
   EXPECT_EQ(fleet::Grant::of(fleet::from_cbor(fleet::to_cbor(grant.packed()))).ride, grant.ride);
