--- a/fleet/agreement_relay.cpp
+++ b/fleet/agreement_relay.cpp
@@ -45,7 +45,7 @@
     request_->sent_term = leader_term_;
     request_->sent_timestamp = leader_timestamp_;
   }
-  if (settings_.piggyback != nullptr) r.piggyback = settings_.piggyback->ask(now);
+  if (settings_.piggyback != nullptr) r.piggyback = settings_.piggyback->renewal_payload(now);
   sent_renewals_[renewal_number_] = now;
   if (sent_renewals_.size() > kMaxSentRenewals) sent_renewals_.erase(sent_renewals_.begin());
   return r;
@@ -109,7 +109,7 @@
   if (!clock_ok) return close_admission("its clock and the leader's differ by more than 1 in 500");
   const Time until = sent_at + g.lease_duration;
   if (g.lease_duration > 0 && !g.piggyback.empty() && settings_.piggyback != nullptr &&
-      settings_.piggyback->took(now, g.leader_term, g.piggyback, until)) {
+      settings_.piggyback->on_grant(now, g.leader_term, g.piggyback, until)) {
     // So that the leader soon learns that the piggybacked data arrived.
     next_renewal_ = std::min(next_renewal_, now + settings_.renewal_period / 8);
   }
--- a/fleet/agreement_settings.h
+++ b/fleet/agreement_settings.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "lease_piggyback.h"
 #include "machine.h"
 #include "policy_log.h"
-#include "rider.h"
 
 namespace umberhoist::fleet {
 
@@ -31,7 +31,8 @@
   // Returns why a policy is not supported here; empty if it is. Must depend on its argument and on the
   // program only.
   std::function<std::string(const std::string& text)> check_policy;
-  Rider* piggyback = nullptr;  // data carried with renewals and grants; outlives the agreement; null: none
+  LeasePiggyback* piggyback =
+      nullptr;  // data carried with renewals and grants; outlives the agreement; null: none
   AgreementInjectedFault injected_fault = AgreementInjectedFault::kNone;
 };
 
--- a/fleet/leadership.cpp
+++ b/fleet/leadership.cpp
@@ -1,11 +1,10 @@
 // The start of a leader term, and the leases that the leader grants.
-#include "leadership.h"
-
 #include <xxhash.h>
 
 #include <algorithm>
 
 #include "agreement_internal.h"
+#include "leadership.h"
 
 namespace umberhoist::fleet {
 
@@ -148,7 +147,7 @@
   const Time expires_at = now + with_drift_margin(g.lease_duration);
   p.lease_expires_at = std::max(p.lease_expires_at, expires_at);
   if (settings_.piggyback != nullptr && !r.piggyback.empty()) {
-    g.piggyback = settings_.piggyback->answer(
+    g.piggyback = settings_.piggyback->grant_payload(
         now, {r.origin, leader_term_, prior_leases_end_, expires_at, static_cast<Time>(p.last_acknowledged)},
         r.piggyback);
   }
