--- a/access/hits.cpp
+++ b/access/hits.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 
 namespace umberhoist::access {
 namespace {
@@ -104,17 +104,17 @@
 Counts Counts::unpacked(std::string_view bytes) {
   const json whole = from_cbor(bytes);
   Counts out;
-  want(whole.is_array() && whole.size() == 3 && whole[2].is_object());
+  require(whole.is_array() && whole.size() == 3 && whole[2].is_object());
   for (const auto& [customer, rules] : whole[2].items()) {
-    want(rules.is_array());
+    require(rules.is_array());
     for (const json& rule : rules) {
-      const RuleKey key{customer, text_of(at(rule, 0), kMostText), number_of(at(rule, 1))};
-      want(number_of(at(rule, 2)) > 0);
+      const RuleKey key{customer, decode_text(at(rule, 0), kMostText), decode_uint(at(rule, 1))};
+      require(decode_uint(at(rule, 2)) > 0);
       out.set(key, rule[2].get<uint64_t>());
     }
   }
-  out.total_ = number_of(whole[0]);
-  out.dropped_ = number_of(whole[1]);
+  out.total_ = decode_uint(whole[0]);
+  out.dropped_ = decode_uint(whole[1]);
   return out;
 }
 
--- a/access/spread.cpp
+++ b/access/spread.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 #include "spread_message.h"
 
 namespace umberhoist::access {
@@ -53,7 +53,7 @@
 
 void Spread::start(Time now) { next_ = now + static_cast<Time>(chance_(static_cast<uint32_t>(kPeriod))); }
 
-void Spread::woke(Time now) {
+void Spread::on_timer(Time now) {
   if (now < next_) return;
   // Between three quarters of a period and five: relays that began together do not go on together.
   next_ = now + kPeriod * 3 / 4 + static_cast<Time>(chance_(static_cast<uint32_t>(kPeriod / 2)));
@@ -75,12 +75,12 @@
   }
 }
 
-void Spread::received(Time now, const std::string& from, std::string_view bytes) {
+void Spread::on_datagram(Time now, const std::string& from, std::string_view bytes) {
   SpreadMessage in;
   try {
-    fleet::want(bytes.size() <= kMostMessage);
+    fleet::require(bytes.size() <= kMostMessage);
     in = decode(bytes);
-  } catch (const fleet::Bad&) {
+  } catch (const fleet::DecodeError&) {
     ++dropped_.unreadable;
     return;
   }
@@ -215,7 +215,7 @@
     SpreadMessage in = decode(bytes);
     for (auto& piece : in.pieces) piece.age += std::max<Time>(0, older);
     merge(now, in);
-  } catch (const fleet::Bad&) {
+  } catch (const fleet::DecodeError&) {
     ++dropped_.unreadable;
   }
 }
--- a/access/spread.h
+++ b/access/spread.h
@@ -23,7 +23,7 @@
 #include <optional>
 #include <pcg_random.hpp>
 
-#include "../fleet/machine.h"
+#include "../fleet/state_machine.h"
 #include "hits.h"
 
 namespace umberhoist::access {
@@ -38,7 +38,7 @@
 
 struct SpreadMessage;
 
-class Spread : public fleet::Machine {
+class Spread : public fleet::StateMachine {
  public:
   static constexpr size_t kMostMessage = 64 * 1024;
   static constexpr size_t kMostOrigins = 400;
@@ -68,9 +68,9 @@
   void in_force(Keys keys);
 
   void start(Time now) override;
-  void received(Time now, const std::string& from, std::string_view bytes) override;
-  void woke(Time now) override;
-  Time next() const override { return next_; }
+  void on_datagram(Time now, const std::string& from, std::string_view bytes) override;
+  void on_timer(Time now) override;
+  Time next_wakeup() const override { return next_; }
 
   // All that is known, own counts as they are now.
   const std::map<Origin, Part>& parts(Time now);
--- a/access/spread_message.cpp
+++ b/access/spread_message.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 
 namespace umberhoist::access {
 namespace {
@@ -20,17 +20,17 @@
 json packed(const std::optional<uint64_t>& value) { return value ? json(*value) : json(); }
 
 std::optional<uint64_t> optional_of(const json& value) {
-  return value.is_null() ? std::nullopt : std::optional(number_of(value));
+  return value.is_null() ? std::nullopt : std::optional(decode_uint(value));
 }
 
 Origin origin_of(const json& list) {
-  Origin out{text_of(at(list, 0), kMostName), number_of(at(list, 1))};
-  want(!out.relay.empty());
+  Origin out{decode_text(at(list, 0), kMostName), decode_uint(at(list, 1))};
+  require(!out.relay.empty());
   return out;
 }
 
 Time age_of(const json& value) {
-  want(number_of(value) <= kMostAge);
+  require(decode_uint(value) <= kMostAge);
   return static_cast<Time>(value.get<uint64_t>());
 }
 
@@ -64,24 +64,25 @@
 
 SpreadMessage decode(std::string_view bytes) {
   const json whole = from_cbor(bytes);
-  want(number_of(at(whole, 0)) == kVersion && whole.size() == 4);
+  require(decode_uint(at(whole, 0)) == kVersion && whole.size() == 4);
   SpreadMessage out;
-  const uint64_t kind = number_of(whole[1]);
-  want(kind >= 1 && kind <= 3 && whole[2].is_array() && whole[3].is_array());
+  const uint64_t kind = decode_uint(whole[1]);
+  require(kind >= 1 && kind <= 3 && whole[2].is_array() && whole[3].is_array());
   out.kind = static_cast<SpreadMessage::Kind>(kind);
   for (const json& d : whole[2]) {
-    want(d.is_array() && d.size() == 6);
-    out.digests.push_back({origin_of(d), number_of(d[2]), number_of(d[3]), age_of(d[4]), optional_of(d[5])});
+    require(d.is_array() && d.size() == 6);
+    out.digests.push_back(
+        {origin_of(d), decode_uint(d[2]), decode_uint(d[3]), age_of(d[4]), optional_of(d[5])});
   }
   for (const json& p : whole[3]) {
-    want(p.is_array() && p.size() == 7 && p[6].is_object());
-    SpreadMessage::Piece piece{origin_of(p),      number_of(p[2]),   age_of(p[3]),
+    require(p.is_array() && p.size() == 7 && p[6].is_object());
+    SpreadMessage::Piece piece{origin_of(p),      decode_uint(p[2]), age_of(p[3]),
                                optional_of(p[4]), optional_of(p[5]), {}};
     for (const auto& [customer, rules] : p[6].items()) {
-      want(customer.size() <= kMostText && rules.is_array());
+      require(customer.size() <= kMostText && rules.is_array());
       for (const json& r : rules) {
-        RuleKey key{customer, text_of(at(r, 0), kMostId), number_of(at(r, 1))};
-        piece.counts.emplace_back(std::move(key), number_of(at(r, 2)));
+        RuleKey key{customer, decode_text(at(r, 0), kMostId), decode_uint(at(r, 1))};
+        piece.counts.emplace_back(std::move(key), decode_uint(at(r, 2)));
       }
     }
     out.pieces.push_back(std::move(piece));
--- a/access/verdict_record.cpp
+++ b/access/verdict_record.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 
 namespace umberhoist::access {
 namespace {
@@ -19,18 +19,19 @@
 // the ways that are allowed, by places in the lists before; a limit's is counted from 1, and 0 is none.
 json whole_of(std::string_view bytes) {
   json out = from_cbor(bytes);
-  want(number_of(at(out, 0)) == kVersion && out.size() == 7);
+  require(decode_uint(at(out, 0)) == kVersion && out.size() == 7);
   return out;
 }
 
 std::string deciders_of(const json& whole, std::vector<Decider>& rules) {
-  want(whole[2].is_array());
-  for (const json& rule : whole[2]) rules.push_back({text_of(at(rule, 0), kMostId), number_of(at(rule, 1))});
-  return text_of(whole[1], kMostText);
+  require(whole[2].is_array());
+  for (const json& rule : whole[2])
+    rules.push_back({decode_text(at(rule, 0), kMostId), decode_uint(at(rule, 1))});
+  return decode_text(whole[1], kMostText);
 }
 
 int place(const json& list, uint64_t i, const std::vector<std::string>& names) {
-  const auto it = std::ranges::find(names, text_of(at(list, i), kMostText));
+  const auto it = std::ranges::find(names, decode_text(at(list, i), kMostText));
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
@@ -61,23 +62,23 @@
   try {
     const json whole = whole_of(bytes);
     out->customer = deciders_of(whole, out->rules);
-    want(whole[5].is_array() && whole[6].is_array());
+    require(whole[5].is_array() && whole[6].is_array());
     for (const json& limit : whole[5]) {
-      want(at(limit, 1).is_number());
-      out->limits.push_back(limits.recorded(text_of(at(limit, 0), kMostText), limit[1].get<double>()));
+      require(at(limit, 1).is_number());
+      out->limits.push_back(limits.recorded(decode_text(at(limit, 0), kMostText), limit[1].get<double>()));
     }
     std::vector<firspool::Way> by(names.zones.size() * names.kinds.size(), firspool::Way{false, 0, -1});
     for (const json& way : whole[6]) {
-      const int zone = place(whole[3], number_of(at(way, 0)), names.zones);
-      const int kind = place(whole[4], number_of(at(way, 1)), names.kinds);
-      const uint64_t rank = number_of(at(way, 2)), limit = number_of(at(way, 3));
-      want(rank <= 1 && limit <= out->limits.size());
+      const int zone = place(whole[3], decode_uint(at(way, 0)), names.zones);
+      const int kind = place(whole[4], decode_uint(at(way, 1)), names.kinds);
+      const uint64_t rank = decode_uint(at(way, 2)), limit = decode_uint(at(way, 3));
+      require(rank <= 1 && limit <= out->limits.size());
       if (zone < 0 || kind < 0) continue;
       by[static_cast<size_t>(zone) * names.kinds.size() + static_cast<size_t>(kind)] = {
           true, static_cast<int>(rank), limit == 0 ? -1 : out->limits[limit - 1]->number};
     }
     out->ways.by = std::move(by);
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     out->ways.by.clear();  // nothing is allowed
   }
   return out;
@@ -87,7 +88,7 @@
   try {
     customer = deciders_of(whole_of(bytes), rules);
     return true;
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     return false;
   }
 }
--- a/feeds/collect.h
+++ b/feeds/collect.h
@@ -13,7 +13,7 @@
 
 #include <set>
 
-#include "../fleet/machine.h"
+#include "../fleet/state_machine.h"
 #include "messages.h"
 
 namespace umberhoist::feeds {
--- a/feeds/cursor.cpp
+++ b/feeds/cursor.cpp
@@ -11,8 +11,8 @@
 namespace umberhoist::feeds {
 namespace {
 
-using fleet::Bad;
-using fleet::want;
+using fleet::DecodeError;
+using fleet::require;
 using nlohmann::json;
 
 constexpr std::string_view kLetters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -36,13 +36,13 @@
   int bits = 0;
   for (const char c : text) {
     const size_t value = kLetters.find(c);
-    want(value != std::string_view::npos);
+    require(value != std::string_view::npos);
     held = (held << 6) | static_cast<uint32_t>(value);
     if ((bits += 6) < 8) continue;
     bits -= 8;
     out += static_cast<char>((held >> bits) & 255);
   }
-  want(base64url(out) == text);  // one text for each cursor
+  require(base64url(out) == text);  // one text for each cursor
   return out;
 }
 
@@ -64,12 +64,12 @@
 }
 
 Positions positions_in(const json& value) {
-  want(value.is_array() && value.size() <= kMostOrigins);
+  require(value.is_array() && value.size() <= kMostOrigins);
   Positions out;
   for (const json& item : value) {
-    want(item.is_array() && item.size() == 3);
-    const Origin origin{fleet::text_of(item[0], kMostName), fleet::number_of(item[1])};
-    want(out.emplace(origin, fleet::number_of(item[2])).second);
+    require(item.is_array() && item.size() == 3);
+    const Origin origin{fleet::decode_text(item[0], kMostName), fleet::decode_uint(item[1])};
+    require(out.emplace(origin, fleet::decode_uint(item[2])).second);
   }
   return out;
 }
@@ -104,28 +104,28 @@
 
 Cursor read_cursor(std::string_view text, const std::string& cluster, const Feed& feed) {
   try {
-    want(text.size() <= kMostText);
+    require(text.size() <= kMostText);
     const std::string bytes = from_base64url(text);
-    want(bytes.size() > kSum);
+    require(bytes.size() > kSum);
     const std::string_view body = std::string_view(bytes).substr(kSum);
-    want(sum_of(body) == bytes.substr(0, kSum));
+    require(sum_of(body) == bytes.substr(0, kSum));
     const json said = fleet::from_cbor(body);
-    const uint64_t format = fleet::number_of(fleet::at(said, 0));
+    const uint64_t format = fleet::decode_uint(fleet::at(said, 0));
     if (format > kCursorFormat) {
       throw Fault(kNewerBuild, where(feed),
                   "has format " + std::to_string(format) + ", this program reads up to " +
                       std::to_string(kCursorFormat));
     }
-    want(said.size() == 6);
+    require(said.size() == 6);
     Cursor out;
-    out.cluster = fleet::text_of(said[1], kMostName);
-    out.feed = {fleet::text_of(said[2], 128), fleet::text_of(said[3], 128)};
-    out.generation = fleet::number_of(said[4]);
+    out.cluster = fleet::decode_text(said[1], kMostName);
+    out.feed = {fleet::decode_text(said[2], 128), fleet::decode_text(said[3], 128)};
+    out.generation = fleet::decode_uint(said[4]);
     out.taken = positions_in(said[5]);
     if (out.cluster != cluster) throw Fault(kOtherCluster, where(feed), "is of the cluster " + out.cluster);
     if (out.feed != feed) throw Fault(kOtherFeed, where(feed), "is of " + text_of(out.feed));
     return out;
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     throw Fault(kMalformed, where(feed), "does not read");
   }
 }
--- a/feeds/messages.cpp
+++ b/feeds/messages.cpp
@@ -6,26 +6,26 @@
 namespace {
 
 using fleet::at;
-using fleet::number_of;
-using fleet::want;
+using fleet::decode_uint;
+using fleet::require;
 using nlohmann::json;
 
 constexpr size_t kMostList = 4096;
 
 json json_of(const Feed& feed) { return {feed.customer, feed.subscription}; }
 Feed feed_in(const json& value) {
-  return {fleet::text_of(at(value, 0), kMostField), fleet::text_of(at(value, 1), kMostField)};
+  return {fleet::decode_text(at(value, 0), kMostField), fleet::decode_text(at(value, 1), kMostField)};
 }
 json json_of(const Ballot& ballot) { return {ballot.generation, ballot.session}; }
-Ballot ballot_in(const json& value) { return {number_of(at(value, 0)), number_of(at(value, 1))}; }
+Ballot ballot_in(const json& value) { return {decode_uint(at(value, 0)), decode_uint(at(value, 1))}; }
 
 bool flag_in(const json& value) {
-  want(value.is_boolean());
+  require(value.is_boolean());
   return value.get<bool>();
 }
 
 const json& list_in(const json& value) {
-  want(value.is_array() && value.size() <= kMostList);
+  require(value.is_array() && value.size() <= kMostList);
   return value;
 }
 
@@ -59,45 +59,46 @@
 
 Message promise_in(const json& b) { return Promise{feed_in(at(b, 0)), ballot_in(at(b, 1))}; }
 Message write_in(const json& b) {
-  return Write{feed_in(at(b, 0)), ballot_in(at(b, 1)), number_of(at(b, 2)), positions_in(at(b, 3))};
+  return Write{feed_in(at(b, 0)), ballot_in(at(b, 1)), decode_uint(at(b, 2)), positions_in(at(b, 3))};
 }
 Message said_in(const json& b) {
   Said m{feed_in(at(b, 0)),
          ballot_in(at(b, 1)),
-         number_of(at(b, 2)),
+         decode_uint(at(b, 2)),
          flag_in(at(b, 3)),
-         fleet::text_of(at(b, 4), 256),
+         fleet::decode_text(at(b, 4), 256),
          held_in(at(b, 5)),
-         number_of(at(b, 6)),
+         decode_uint(at(b, 6)),
          {}};
   for (const json& one : list_in(at(b, 7))) {
-    m.folders[fleet::text_of(at(one, 0), kMostName)] = number_of(at(one, 1));
+    m.folders[fleet::decode_text(at(one, 0), kMostName)] = decode_uint(at(one, 1));
   }
-  want(m.folders.size() <= kMostVoters);
+  require(m.folders.size() <= kMostVoters);
   return m;
 }
-Message pull_in(const json& b) { return Pull{number_of(at(b, 0)), feed_in(at(b, 1))}; }
+Message pull_in(const json& b) { return Pull{decode_uint(at(b, 0)), feed_in(at(b, 1))}; }
 Message page_in(const json& b) {
-  Page m{number_of(at(b, 0)), feed_in(at(b, 1)), flag_in(at(b, 2)), {}, flag_in(at(b, 4))};
+  Page m{decode_uint(at(b, 0)), feed_in(at(b, 1)), flag_in(at(b, 2)), {}, flag_in(at(b, 4))};
   for (const json& one : list_in(at(b, 3))) m.held[feed_in(at(one, 0))] = held_in(at(one, 1));
   return m;
 }
 Message ask_in(const json& b) {
   Ask m;
-  m.number = number_of(at(b, 0));
-  m.customer = fleet::text_of(at(b, 1), kMostField);
-  for (const json& region : list_in(at(b, 2))) m.regions.push_back(fleet::text_of(region, kMostField));
-  for (const json& one : list_in(at(b, 3))) m.after[number_of(at(one, 0))] = number_of(at(one, 1));
-  m.most = number_of(at(b, 4));
-  m.most_bytes = number_of(at(b, 5));
+  m.number = decode_uint(at(b, 0));
+  m.customer = fleet::decode_text(at(b, 1), kMostField);
+  for (const json& region : list_in(at(b, 2))) m.regions.push_back(fleet::decode_text(region, kMostField));
+  for (const json& one : list_in(at(b, 3))) m.after[decode_uint(at(one, 0))] = decode_uint(at(one, 1));
+  m.most = decode_uint(at(b, 4));
+  m.most_bytes = decode_uint(at(b, 5));
   return m;
 }
 Message have_in(const json& b) {
-  Have m{number_of(at(b, 0)), {}};
+  Have m{decode_uint(at(b, 0)), {}};
   for (const json& one : list_in(at(b, 1))) {
-    Have::One log{
-        {number_of(at(one, 0)), number_of(at(one, 1)), number_of(at(one, 2))}, number_of(at(one, 3)), {}};
-    want(at(one, 4).is_array());
+    Have::One log{{decode_uint(at(one, 0)), decode_uint(at(one, 1)), decode_uint(at(one, 2))},
+                  decode_uint(at(one, 3)),
+                  {}};
+    require(at(one, 4).is_array());
     for (const json& o : one[4]) log.outcomes.push_back(outcome_in(o));
     m.logs.push_back(std::move(log));
   }
@@ -114,7 +115,7 @@
 }
 
 Held held_in(const json& value) {
-  return {ballot_in(at(value, 0)), ballot_in(at(value, 1)), number_of(at(value, 2)),
+  return {ballot_in(at(value, 0)), ballot_in(at(value, 1)), decode_uint(at(value, 2)),
           positions_in(at(value, 3))};
 }
 
@@ -128,9 +129,9 @@
 
 Message decode(std::string_view bytes) {
   const json said = fleet::from_cbor(bytes);
-  want(number_of(at(said, 0)) == kTalk);
-  const uint64_t kind = number_of(at(said, 1));
-  want(kind < std::size(kReaders));
+  require(decode_uint(at(said, 0)) == kTalk);
+  const uint64_t kind = decode_uint(at(said, 1));
+  require(kind < std::size(kReaders));
   return kReaders[kind](at(said, 2));
 }
 
--- a/feeds/outcome.cpp
+++ b/feeds/outcome.cpp
@@ -20,18 +20,18 @@
 }
 
 Outcome outcome_in(const nlohmann::json& value) {
-  fleet::want(value.is_array() && value.size() >= 8);  // a newer program may say more
-  const uint64_t answer = fleet::number_of(value[4]);
-  fleet::want(answer <= static_cast<uint64_t>(Answer::kFailed));
+  fleet::require(value.is_array() && value.size() >= 8);  // a newer program may say more
+  const uint64_t answer = fleet::decode_uint(value[4]);
+  fleet::require(answer <= static_cast<uint64_t>(Answer::kFailed));
   Outcome out;
-  out.number = fleet::number_of(value[0]);
-  out.id = fleet::text_of(value[1], kMostField);
-  out.customer = fleet::text_of(value[2], kMostField);
-  out.message_class = fleet::text_of(value[3], kMostField);
+  out.number = fleet::decode_uint(value[0]);
+  out.id = fleet::decode_text(value[1], kMostField);
+  out.customer = fleet::decode_text(value[2], kMostField);
+  out.message_class = fleet::decode_text(value[3], kMostField);
   out.answer = static_cast<Answer>(answer);
-  out.time_ms = static_cast<int64_t>(fleet::number_of(value[5]));
-  out.rule = fleet::text_of(value[6], kMostField);
-  out.region = fleet::text_of(value[7], kMostField);
+  out.time_ms = static_cast<int64_t>(fleet::decode_uint(value[5]));
+  out.rule = fleet::decode_text(value[6], kMostField);
+  out.region = fleet::decode_text(value[7], kMostField);
   return out;
 }
 
--- a/feeds/outcome.h
+++ b/feeds/outcome.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 
 namespace umberhoist::feeds {
 
--- a/feeds/outcome_log.cpp
+++ b/feeds/outcome_log.cpp
@@ -8,14 +8,14 @@
 namespace umberhoist::feeds {
 namespace {
 
-using fleet::Bad;
-using fleet::want;
+using fleet::DecodeError;
+using fleet::require;
 using nlohmann::json;
 using Part = LogFiles::Part;
 
 constexpr uint64_t kFormat = 1;
 constexpr size_t kMostLooks = 4;  // at outcomes of other regions, for each one that is asked for
-const size_t kFrame = fleet::framed("").size();
+const size_t kFrame = fleet::frame_record("").size();
 
 }  // namespace
 
@@ -26,15 +26,15 @@
   std::map<std::string, uint64_t> lasts;
 
   static Head of(const fleet::Records& records) {
-    want(!records.bodies.empty());
+    require(!records.bodies.empty());
     const json said = fleet::from_cbor(records.bodies.front());
-    want(fleet::number_of(fleet::at(said, 0)) == kFormat);
-    Head out{fleet::number_of(fleet::at(said, 1)),
-             fleet::number_of(fleet::at(said, 2)),
-             fleet::number_of(fleet::at(said, 3)),
+    require(fleet::decode_uint(fleet::at(said, 0)) == kFormat);
+    Head out{fleet::decode_uint(fleet::at(said, 1)),
+             fleet::decode_uint(fleet::at(said, 2)),
+             fleet::decode_uint(fleet::at(said, 3)),
              {}};
-    want(out.number > 0 && out.first > 0 && fleet::at(said, 4).is_object());
-    for (const auto& [customer, last] : said[4].items()) out.lasts[customer] = fleet::number_of(last);
+    require(out.number > 0 && out.first > 0 && fleet::at(said, 4).is_object());
+    for (const auto& [customer, last] : said[4].items()) out.lasts[customer] = fleet::decode_uint(last);
     return out;
   }
 };
@@ -62,7 +62,7 @@
   const std::string bytes = files_->read(Part::kFront);
   const fleet::Records records = fleet::read_records(bytes);
   try {
-    want(records.end == fleet::Records::End::kWhole);  // it took this place whole
+    require(records.end == fleet::Records::End::kComplete);  // it took this place whole
     Head head = Head::of(records);
     number_ = head.number;
     next_ = front_first_ = back_first_ = head.first;
@@ -73,7 +73,7 @@
     back_first_ = next_;
     front_size_ = bytes.size();
     return true;
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     forget();
     return false;
   }
@@ -83,7 +83,7 @@
   const std::string bytes = files_->read(Part::kBack);
   const fleet::Records records = fleet::read_records(bytes);
   try {
-    want(records.end != fleet::Records::End::kCorrupt);
+    require(records.end != fleet::Records::End::kCorrupt);
     Head head = Head::of(records);
     if (number_ != head.number || next_ != head.first) {  // the front does not lead up to it
       forget();
@@ -94,10 +94,10 @@
     }
     back_first_ = next_;
     take(records.bodies, back_oldest_ms_, back_newest_ms_);
-    back_size_ = records.whole;
-    if (writes_ && records.whole < bytes.size()) files_->cut(records.whole);
+    back_size_ = records.valid_bytes;
+    if (writes_ && records.valid_bytes < bytes.size()) files_->cut(records.valid_bytes);
     return true;
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     if (!writes_) forget();
     return false;
   }
@@ -108,7 +108,7 @@
   size_t offset = kFrame + bodies.front().size();
   for (size_t i = 1; i < bodies.size(); ++i) {
     const Outcome outcome = outcome_in(fleet::from_cbor(bodies[i]));
-    want(outcome.number == next_);
+    require(outcome.number == next_);
     if (i == 1) oldest = outcome.time_ms;
     newest = outcome.time_ms;
     note(outcome, offset + kFrame, bodies[i].size());
@@ -140,7 +140,7 @@
     others = std::max(others, oldest->second);
     lasts.erase(oldest);
   }
-  return fleet::framed(fleet::to_cbor({kFormat, number_, next_, others, json(lasts)}));
+  return fleet::frame_record(fleet::to_cbor({kFormat, number_, next_, others, json(lasts)}));
 }
 
 bool OutcomeLog::begin_back() {
@@ -185,7 +185,7 @@
   const std::string body = fleet::to_cbor(json_of(outcome));
   if (back_size_ == 0 && !begin_back()) return false;
   if (back_size_ + kFrame + body.size() > limits_.bytes / 2 && next_ > back_first_ && !rotate()) return false;
-  if (!files_->append(fleet::framed(body))) return false;
+  if (!files_->append(fleet::frame_record(body))) return false;
   if (next_ == back_first_) back_oldest_ms_ = outcome.time_ms;
   back_newest_ms_ = std::max(back_newest_ms_, outcome.time_ms);
   note(outcome, back_size_ + kFrame, body.size());
--- a/feeds/positions_codec.h
+++ b/feeds/positions_codec.h
@@ -1,7 +1,7 @@
 // Positions as CBOR: a list of [relay, log, number].
 #pragma once
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 #include "cursor.h"
 
 namespace umberhoist::feeds {
--- a/feeds/register.cpp
+++ b/feeds/register.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 using fleet::at;
-using fleet::Bad;
-using fleet::number_of;
-using fleet::want;
+using fleet::decode_uint;
+using fleet::DecodeError;
+using fleet::require;
 using nlohmann::json;
 
 constexpr size_t kSlack = 256 * 1024;
@@ -34,25 +34,25 @@
   try {
     recovering_ = true;
     for (const std::string& body : records.bodies) apply(fleet::from_cbor(body));
-    want(folder_ > 0);
-  } catch (const Bad&) {
+    require(folder_ > 0);
+  } catch (const DecodeError&) {
     return false;
   }
-  if (records.whole < file.size()) keep_whole();
-  appended_ = records.whole;
+  if (records.valid_bytes < file.size()) keep_whole();
+  appended_ = records.valid_bytes;
   return true;
 }
 
 // The file's records: [format, kind, ...].
 void Register::apply(const json& record) {
-  want(number_of(at(record, 0)) == kFormat);
-  switch (number_of(at(record, 1))) {
+  require(decode_uint(at(record, 0)) == kFormat);
+  switch (decode_uint(at(record, 1))) {
     case kFolder:
-      folder_ = number_of(at(record, 2));
+      folder_ = decode_uint(at(record, 2));
       return;
     case kOther: {
-      auto& known = folders_[fleet::text_of(at(record, 2), kMostName)];
-      known.push_back(number_of(at(record, 3)));
+      auto& known = folders_[fleet::decode_text(at(record, 2), kMostName)];
+      known.push_back(decode_uint(at(record, 3)));
       if (known.size() > kMostFolders) known.pop_front();
       return;
     }
@@ -60,20 +60,21 @@
       recovering_ = false;
       return;
     case kHeld:
-      held_[{fleet::text_of(at(record, 2), kMostField), fleet::text_of(at(record, 3), kMostField)}] =
+      held_[{fleet::decode_text(at(record, 2), kMostField), fleet::decode_text(at(record, 3), kMostField)}] =
           held_in(at(record, 4));
       return;
     case kGone:
-      held_.erase({fleet::text_of(at(record, 2), kMostField), fleet::text_of(at(record, 3), kMostField)});
+      held_.erase(
+          {fleet::decode_text(at(record, 2), kMostField), fleet::decode_text(at(record, 3), kMostField)});
       return;
     default:
-      throw Bad{};
+      throw DecodeError{};
   }
 }
 
 void Register::keep(const json& record) {
   apply(record);
-  const std::string bytes = fleet::framed(fleet::to_cbor(record));
+  const std::string bytes = fleet::frame_record(fleet::to_cbor(record));
   appended_ += bytes.size();
   if (appended_ > whole_size_ + kSlack) return keep_whole();
   out_.push_back(Append{bytes, false});
@@ -88,7 +89,7 @@
 
 std::string Register::whole_file() const {
   std::string out;
-  const auto add = [&](const json& record) { out += fleet::framed(fleet::to_cbor(record)); };
+  const auto add = [&](const json& record) { out += fleet::frame_record(fleet::to_cbor(record)); };
   add({kFormat, kFolder, folder_});
   for (const auto& [name, known] : folders_) {
     for (const uint64_t folder : known) add({kFormat, kOther, name, folder});
--- a/feeds/register.h
+++ b/feeds/register.h
@@ -25,7 +25,7 @@
 #include <optional>
 #include <set>
 
-#include "../fleet/machine.h"
+#include "../fleet/state_machine.h"
 #include "messages.h"
 
 namespace umberhoist::feeds {
--- a/feeds/service.cpp
+++ b/feeds/service.cpp
@@ -131,7 +131,7 @@
 void Service::received(Time now, const std::string& from, std::string_view bytes) {
   try {
     heard(now, from, decode(bytes));
-  } catch (const fleet::Bad&) {
+  } catch (const fleet::DecodeError&) {
     return;
   }
   advance(now);
--- a/feeds/service_reads.cpp
+++ b/feeds/service_reads.cpp
@@ -106,7 +106,7 @@
   std::string bytes;
   try {
     bytes = encode(feeds::answer(ask, logs_()));
-  } catch (const fleet::Bad&) {
+  } catch (const fleet::DecodeError&) {
     return;
   }
   send(from, std::move(bytes));
--- a/feeds/session.h
+++ b/feeds/session.h
@@ -14,7 +14,7 @@
 // Bounds: one message to each voter each `again`.
 #pragma once
 
-#include "../fleet/machine.h"
+#include "../fleet/state_machine.h"
 #include "messages.h"
 
 namespace umberhoist::feeds {
--- a/fleet/agreement.cpp
+++ b/fleet/agreement.cpp
@@ -20,7 +20,7 @@
     : settings_(std::move(settings)), chance_(seed, 23) {
   try {
     load(file);
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     broken_ = "a record does not read";
   }
   life_ = draw();
@@ -103,12 +103,13 @@
   if (!broken_.empty()) return;
   try {
     const json m = from_cbor(bytes);
-    want(number_of(at(m, 0)) == kAgreementProtocol && text_of(at(m, 1), kMostName) == settings_.cluster);
-    const std::string kind = text_of(at(m, 2), kMostName);
-    const uint64_t founding = number_of(at(m, 3));
+    require(decode_uint(at(m, 0)) == kAgreementProtocol &&
+            decode_text(at(m, 1), kMaxNameSize) == settings_.cluster);
+    const std::string kind = decode_text(at(m, 2), kMaxNameSize);
+    const uint64_t founding = decode_uint(at(m, 3));
     const json& body = at(m, 4);
     if (kind == "fresh") {
-      const uint64_t nonce = number_of(body);
+      const uint64_t nonce = decode_uint(body);
       if (founding_ && !founding_->voters.empty()) {
         send(from, "founded", founding_->record());
       } else if (!founding_) {
@@ -124,7 +125,7 @@
     } else if (kind == "renew") {
       Renew r = Renew::of(body);
       if (founding != 0 && founding_ && founding != founding_->id) return;
-      want(r.via.empty() ? r.origin == from : r.via == from);
+      require(r.via.empty() ? r.origin == from : r.via == from);
       if (std::ranges::find(settings_.names, r.origin) == settings_.names.end()) return;
       if (leads()) {
         const Grant g = leadership_->answer(now, r);
@@ -145,14 +146,14 @@
         granted(now, g);
       }
     } else if (kind == "elsewhere") {
-      const std::string leader = text_of(body, kMostName);
+      const std::string leader = decode_text(body, kMaxNameSize);
       const bool known = leader == through_;
       if (heard_ < 0 || now - heard_ > 2 * settings_.period) through_ = leader;
       if (!known && leader != settings_.name) send(leader, "renew", make_renew(now).packed());
     } else {
-      throw Bad{};
+      throw DecodeError{};
     }
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     ++unreadable_;
   }
   if (leadership_) leadership_->lead(now);
--- a/fleet/agreement_file.cpp
+++ b/fleet/agreement_file.cpp
@@ -14,33 +14,33 @@
 void Agreement::load(std::string_view file) {
   const Records records = read_records(file);
   if (records.end == Records::End::kCorrupt) {
-    broken_ = "the record at byte " + std::to_string(records.whole) + " fails its checksum";
+    broken_ = "the record at byte " + std::to_string(records.valid_bytes) + " fails its checksum";
     return;
   }
   torn_ = records.end == Records::End::kTorn;
   for (const std::string& body : records.bodies) {
     const json r = from_cbor(body);
-    const std::string tag = text_of(at(r, 0), kMostName);
+    const std::string tag = decode_text(at(r, 0), kMaxNameSize);
     if (tag == "format") {
-      if (number_of(at(r, 1)) <= kFormat) continue;
+      if (decode_uint(at(r, 1)) <= kFormat) continue;
       broken_ = "it was written by a newer version of the program";
       return;
     }
     if (tag == "folder") {
-      nonce_ = number_of(at(r, 1));
+      nonce_ = decode_uint(at(r, 1));
     } else if (tag == "founding") {
       founding_ = Founding::of(r);
     } else if (tag == "voters") {
       told_voters_.clear();
-      for (const json& name : at(r, 1)) told_voters_.insert(text_of(name, kMostName));
+      for (const json& name : at(r, 1)) told_voters_.insert(decode_text(name, kMaxNameSize));
     } else if (tag == "policy") {
-      held_ = {number_of(at(r, 1)), text_of(at(r, 2), kMostId), text_of(at(r, 3), kMostPolicy)};
+      held_ = {decode_uint(at(r, 1)), decode_text(at(r, 2), kMostId), decode_text(at(r, 3), kMostPolicy)};
     } else if (tag == "yes") {
-      yes_ = text_of(at(r, 1), kMostId);
+      yes_ = decode_text(at(r, 1), kMostId);
     } else if (tag == "lease") {
-      kept_lease_ = static_cast<Time>(number_of(at(r, 1)));
+      kept_lease_ = static_cast<Time>(decode_uint(at(r, 1)));
     } else {
-      want(stored_.take(r));
+      require(stored_.take(r));
     }
   }
 }
@@ -50,9 +50,9 @@
   try {
     for (const std::string& body : read_records(file).bodies) {
       const json r = from_cbor(body);
-      if (text_of(at(r, 0), kMostName) == "policy") out = text_of(at(r, 3), kMostPolicy);
+      if (decode_text(at(r, 0), kMaxNameSize) == "policy") out = decode_text(at(r, 3), kMostPolicy);
     }
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
   }
   return out;
 }
@@ -66,12 +66,12 @@
   const auto log = raft_ ? raft_->records() : stored_.records();
   records.insert(records.end(), log.begin(), log.end());
   std::string out;
-  for (const json& r : records) out += framed(to_cbor(r));
+  for (const json& r : records) out += frame_record(to_cbor(r));
   return out;
 }
 
 void Agreement::record(json record) {
-  std::string bytes = framed(to_cbor(record));
+  std::string bytes = frame_record(to_cbor(record));
   appended_ += bytes.size();
   out_.push_back(Write{std::move(bytes), false});
 }
--- a/fleet/agreement_messages.cpp
+++ b/fleet/agreement_messages.cpp
@@ -9,12 +9,12 @@
  public:
   explicit Fields(const json& list) : list_(list) {}
   const json& any() { return at(list_, next_++); }
-  std::string text(size_t most) { return text_of(any(), most); }
-  uint64_t number() { return number_of(any()); }
-  std::string ride() { return next_ < list_.size() ? bytes_in(any()) : std::string(); }
+  std::string text(size_t most) { return decode_text(any(), most); }
+  uint64_t number() { return decode_uint(any()); }
+  std::string ride() { return next_ < list_.size() ? decode_bytes(any()) : std::string(); }
   bool flag() {
     const json& value = any();
-    want(value.is_boolean());
+    require(value.is_boolean());
     return value.get<bool>();
   }
 
@@ -32,7 +32,7 @@
 Change change_of(Fields in, bool& with_text) {
   Change out;
   out.id = in.text(kMostId);
-  out.by = in.text(kMostName);
+  out.by = in.text(kMaxNameSize);
   out.base = in.number();
   out.wall_ms = in.number();
   out.text = in.text(kMostPolicy);
@@ -49,9 +49,9 @@
 }
 
 Founding Founding::of(const json& record) {
-  Founding out{number_of(at(record, 1)), {}};
+  Founding out{decode_uint(at(record, 1)), {}};
   for (const json& v : at(record, 2)) {
-    out.voters.emplace_back(text_of(at(v, 0), kMostName), number_of(at(v, 1)));
+    out.voters.emplace_back(decode_text(at(v, 0), kMaxNameSize), decode_uint(at(v, 1)));
   }
   return out;
 }
@@ -59,19 +59,19 @@
 json Renew::packed() const {
   json out = {origin,  via,    life,   nonce,  number, program, raft_term, echo_term, echo_stamp,
               version, digest, cannot, answer, no,     leaving, ended,     ask};
-  if (!ride.empty()) out.push_back(bytes_of(ride));
+  if (!ride.empty()) out.push_back(encode_bytes(ride));
   return out;
 }
 
 Renew Renew::of(const json& from) {
   Fields in(from);
   Renew out;
-  out.origin = in.text(kMostName);
-  out.via = in.text(kMostName);
+  out.origin = in.text(kMaxNameSize);
+  out.via = in.text(kMaxNameSize);
   out.life = in.number();
   out.nonce = in.number();
   out.number = in.number();
-  out.program = in.text(kMostName);
+  out.program = in.text(kMaxNameSize);
   out.raft_term = in.number();
   out.echo_term = in.number();
   out.echo_stamp = in.number();
@@ -100,37 +100,37 @@
               c,       busy,
               ended,   ends,
               voters,  list_of(waiting)};
-  if (!ride.empty()) out.push_back(bytes_of(ride));
+  if (!ride.empty()) out.push_back(encode_bytes(ride));
   return out;
 }
 
 Grant Grant::of(const json& from) {
   Fields in(from);
   Grant out;
-  out.leader = in.text(kMostName);
-  out.via = in.text(kMostName);
-  out.to = in.text(kMostName);
+  out.leader = in.text(kMaxNameSize);
+  out.via = in.text(kMaxNameSize);
+  out.to = in.text(kMaxNameSize);
   out.life = in.number();
   out.number = in.number();
   out.term = in.number();
   out.stamp = in.number();
   const uint64_t lease = in.number();
-  want(lease <= 3600u * kSecond);
+  require(lease <= 3600u * kSecond);
   out.lease = static_cast<Time>(lease);
   out.version = in.number();
   out.digest = in.number();
   out.id = in.text(kMostId);
-  if (const json& text = in.any(); !text.is_null()) out.text = text_of(text, kMostPolicy);
+  if (const json& text = in.any(); !text.is_null()) out.text = decode_text(text, kMostPolicy);
   if (const json& c = in.any(); !c.is_null()) out.change = change_of(Fields(c), out.change_text);
   out.busy = in.text(kMostId);
   out.ended = in.number();
   for (const json& o : in.any()) out.outcomes.push_back(outcome_of(o));
-  for (const json& v : in.any()) out.voters.insert(text_of(v, kMostName));
+  for (const json& v : in.any()) out.voters.insert(decode_text(v, kMaxNameSize));
   for (const json& w : in.any()) {
-    out.waiting.emplace_back(text_of(at(w, 0), kMostName), text_of(at(w, 1), kMostReason));
+    out.waiting.emplace_back(decode_text(at(w, 0), kMaxNameSize), decode_text(at(w, 1), kMostReason));
   }
   out.ride = in.ride();
-  want(out.outcomes.size() <= PolicyLog::kMostOutcomes && out.waiting.size() <= kMostWaiting + 1);
+  require(out.outcomes.size() <= PolicyLog::kMostOutcomes && out.waiting.size() <= kMostWaiting + 1);
   return out;
 }
 
--- a/fleet/agreement_messages.h
+++ b/fleet/agreement_messages.h
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "machine.h"
+#include "decoding.h"
 #include "policy_log.h"
-#include "reading.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/agreement_parts.h
+++ b/fleet/agreement_parts.h
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <string>
 
-#include "machine.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/agreement_relay.cpp
+++ b/fleet/agreement_relay.cpp
@@ -29,7 +29,7 @@
   r.life = life_;
   r.nonce = nonce_;
   r.number = ++number_;
-  r.program = clipped(settings_.program, kMostName);
+  r.program = clipped(settings_.program, kMaxNameSize);
   r.raft_term = raft_ ? raft_->term() : 0;
   r.echo_term = leader_term_;
   r.echo_stamp = leader_stamp_;
--- a/fleet/agreement_settings.h
+++ b/fleet/agreement_settings.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "machine.h"
 #include "policy_log.h"
 #include "rider.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/budget_rider.cpp
+++ b/fleet/budget_rider.cpp
@@ -8,7 +8,7 @@
     if (divider_.reign() != renewal.reign) divider_.begin(renewal.reign, renewal.clear);
     const auto parts = divider_.answer(now, {renewal.relay, renewal.over, renewal.heard}, told);
     return parts ? parts->packed() : "";
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     ++unreadable_;
     return "";
   }
@@ -17,7 +17,7 @@
 bool BudgetRider::took(Time now, uint64_t reign, std::string_view bytes, Time until) {
   try {
     return holder_.took(now, reign, Parts::of(bytes), until);
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     ++unreadable_;
     return false;
   }
--- a/fleet/budget_wire.cpp
+++ b/fleet/budget_wire.cpp
@@ -11,25 +11,25 @@
 using nlohmann::json;
 
 double rate_of(const json& value) {
-  want(value.is_number());
+  require(value.is_number());
   const double rate = value.get<double>();
-  want(std::isfinite(rate) && rate >= 0 && rate <= kMostRate);
+  require(std::isfinite(rate) && rate >= 0 && rate <= kMostRate);
   return rate;
 }
 
 json read(std::string_view bytes) {
-  want(bytes.size() <= kMostBytes);
+  require(bytes.size() <= kMostBytes);
   return from_cbor(bytes);
 }
 
 // Three fields for each word, one after the other: no list around each.
 template <typename Word>
 std::vector<Word> words_of(const json& list) {
-  want(list.is_array() && list.size() % 3 == 0 && list.size() / 3 <= kMostWords);
+  require(list.is_array() && list.size() % 3 == 0 && list.size() / 3 <= kMostWords);
   std::vector<Word> out;
   out.reserve(list.size() / 3);
   for (size_t i = 0; i < list.size(); i += 3) {
-    out.push_back({number_of(list[i]), rate_of(list[i + 1]), rate_of(list[i + 2])});
+    out.push_back({decode_uint(list[i]), rate_of(list[i + 1]), rate_of(list[i + 2])});
   }
   return out;
 }
@@ -58,9 +58,10 @@
 
 Demands Demands::of(std::string_view bytes) {
   const json d = read(bytes);
-  Demands out{number_of(at(d, 0)), rate_of(at(d, 1)),   number_of(at(d, 2)), number_of(at(d, 3)),
-              number_of(at(d, 4)), number_of(at(d, 5)), number_of(at(d, 6)), words_of<Demand>(at(d, 7))};
-  want(out.floor <= 1 && out.names > 0 && out.base <= out.number);
+  Demands out{decode_uint(at(d, 0)), rate_of(at(d, 1)),         decode_uint(at(d, 2)),
+              decode_uint(at(d, 3)), decode_uint(at(d, 4)),     decode_uint(at(d, 5)),
+              decode_uint(at(d, 6)), words_of<Demand>(at(d, 7))};
+  require(out.floor <= 1 && out.names > 0 && out.base <= out.number);
   return out;
 }
 
@@ -76,7 +77,7 @@
 
 Parts Parts::of(std::string_view bytes) {
   const json p = read(bytes);
-  return {number_of(at(p, 0)), number_of(at(p, 1)), number_of(at(p, 2)) != 0, number_of(at(p, 3)),
+  return {decode_uint(at(p, 0)), decode_uint(at(p, 1)), decode_uint(at(p, 2)) != 0, decode_uint(at(p, 3)),
           words_of<Part>(at(p, 4))};
 }
 
--- a/fleet/budget_wire.h
+++ b/fleet/budget_wire.h
@@ -15,8 +15,8 @@
 #include <string_view>
 #include <vector>
 
-#include "machine.h"
-#include "reading.h"
+#include "decoding.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/consensus.cpp
+++ b/fleet/consensus.cpp
@@ -103,7 +103,7 @@
 void Consensus::received(Time now, const json& from) {
   now_ = std::max(now_, now);
   if (!failed_.empty() || !started_) return;
-  if (number_of(at(from, 3)) != settings_.id) return;  // for the server that this name was before
+  if (decode_uint(at(from, 3)) != settings_.id) return;  // for the server that this name was before
   std::string address;
   raft_message m = message_of(from, address);
   recv_(&io_, &m);
--- a/fleet/consensus.h
+++ b/fleet/consensus.h
@@ -23,8 +23,8 @@
 #include <string>
 #include <vector>
 
-#include "machine.h"
-#include "reading.h"
+#include "decoding.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/consensus_glue.cpp
+++ b/fleet/consensus_glue.cpp
@@ -122,7 +122,7 @@
   static int restore(raft_fsm* fsm, raft_buffer* from) {
     try {
       of(fsm).host_.restore(view_of(*from));
-    } catch (const Bad&) {
+    } catch (const DecodeError&) {
       return RAFT_CORRUPT;
     }
     raft_free(from->base);
--- a/fleet/consensus_messages.cpp
+++ b/fleet/consensus_messages.cpp
@@ -39,7 +39,7 @@
       const auto& v = m.install_snapshot;
       out.insert(out.end(),
                  {json(v.term), json(v.last_index), json(v.last_term), fleet::packed(servers_of(v.conf)),
-                  json(v.conf_index), bytes_of(view_of(v.data))});
+                  json(v.conf_index), encode_bytes(view_of(v.data))});
       break;
     }
     default: {
@@ -52,13 +52,13 @@
 
 raft_message Consensus::message_of(const json& from, std::string& address) const {
   raft_message m{};
-  m.server_id = number_of(at(from, 0));
-  address = text_of(at(from, 1), kMostName);
+  m.server_id = decode_uint(at(from, 0));
+  address = decode_text(at(from, 1), kMaxNameSize);
   m.server_address = address.c_str();
-  m.type = static_cast<unsigned short>(number_of(at(from, 2)));
-  const auto number = [&](size_t i) { return number_of(at(from, 3 + i)); };
+  m.type = static_cast<unsigned short>(decode_uint(at(from, 2)));
+  const auto number = [&](size_t i) { return decode_uint(at(from, 3 + i)); };
   const auto flag = [&](size_t i) {
-    want(at(from, 3 + i).is_boolean());
+    require(at(from, 3 + i).is_boolean());
     return at(from, 3 + i).get<bool>();
   };
   // All that can be wrong is read before anything is handed over.
@@ -67,13 +67,13 @@
       m.request_vote = {number(1), number(2), number(3), number(4), flag(5), flag(6)};
       break;
     case RAFT_IO_REQUEST_VOTE_RESULT:
-      want(number(3) <= raft_tribool_false);
+      require(number(3) <= raft_tribool_false);
       m.request_vote_result = {number(1), flag(2), static_cast<raft_tribool>(number(3))};
       break;
     case RAFT_IO_APPEND_ENTRIES: {
       m.append_entries = {number(1), number(2), number(3), number(4), nullptr, 0};
       std::vector<Stored::Entry> entries;
-      want(at(from, 8).is_array());
+      require(at(from, 8).is_array());
       for (const json& e : at(from, 8)) entries.push_back(entry_of(e));
       m.append_entries.n_entries = static_cast<unsigned>(entries.size());
       m.append_entries.entries = entries_of(entries);
@@ -84,7 +84,7 @@
       break;
     case RAFT_IO_INSTALL_SNAPSHOT: {
       const auto servers = unpacked(at(from, 7));
-      const std::string bytes = bytes_in(at(from, 9));
+      const std::string bytes = decode_bytes(at(from, 9));
       m.install_snapshot = {number(1), number(2), number(3), {}, number(5), {}};
       m.install_snapshot.conf = configuration_of(servers);
       m.install_snapshot.data = buffer_of(bytes);
@@ -94,7 +94,7 @@
       m.timeout_now = {number(1), number(2), number(3)};
       break;
     default:
-      throw Bad{};
+      throw DecodeError{};
   }
   return m;
 }
--- a/fleet/consensus_records.cpp
+++ b/fleet/consensus_records.cpp
@@ -18,26 +18,26 @@
 }
 
 std::vector<Consensus::Server> unpacked(const json& from) {
-  want(from.is_array() && from.size() <= kMostServers);
+  require(from.is_array() && from.size() <= kMostServers);
   std::vector<Consensus::Server> out;
   for (const json& s : from) {
-    const uint64_t role = number_of(at(s, 2));
-    out.push_back({number_of(at(s, 0)), text_of(at(s, 1), kMostName), static_cast<int>(role)});
-    want(out.back().id > 0 && role <= RAFT_SPARE);
+    const uint64_t role = decode_uint(at(s, 2));
+    out.push_back({decode_uint(at(s, 0)), decode_text(at(s, 1), kMaxNameSize), static_cast<int>(role)});
+    require(out.back().id > 0 && role <= RAFT_SPARE);
   }
   return out;
 }
 
-json packed(const Consensus::Stored::Entry& e) { return {e.term, e.type, bytes_of(e.bytes)}; }
+json packed(const Consensus::Stored::Entry& e) { return {e.term, e.type, encode_bytes(e.bytes)}; }
 
 Consensus::Stored::Entry entry_of(const json& from) {
   Consensus::Stored::Entry out;
-  out.term = number_of(at(from, 0));
-  const uint64_t type = number_of(at(from, 1));
-  want(type >= RAFT_COMMAND && type <= RAFT_CHANGE);
+  out.term = decode_uint(at(from, 0));
+  const uint64_t type = decode_uint(at(from, 1));
+  require(type >= RAFT_COMMAND && type <= RAFT_CHANGE);
   out.type = static_cast<unsigned>(type);
-  out.bytes = bytes_in(at(from, 2));
-  want(out.bytes.size() <= kMostBytes);
+  out.bytes = decode_bytes(at(from, 2));
+  require(out.bytes.size() <= kMostBytes);
   return out;
 }
 
@@ -54,30 +54,30 @@
 }
 
 bool Consensus::Stored::take(const json& record) {
-  const std::string tag = text_of(at(record, 0), kMostName);
+  const std::string tag = decode_text(at(record, 0), kMaxNameSize);
   if (tag == "term") {
-    term = number_of(at(record, 1));
+    term = decode_uint(at(record, 1));
     vote = 0;
   } else if (tag == "vote") {
-    vote = number_of(at(record, 1));
+    vote = decode_uint(at(record, 1));
   } else if (tag == "entry") {
-    const uint64_t index = number_of(at(record, 1));
+    const uint64_t index = decode_uint(at(record, 1));
     if (entries.empty() && !snapshot) first = index;
-    want(index == first + entries.size());
+    require(index == first + entries.size());
     entries.push_back(entry_of(at(record, 2)));
   } else if (tag == "cut") {
-    const uint64_t index = number_of(at(record, 1));
-    want(index >= first && index <= first + entries.size());
+    const uint64_t index = decode_uint(at(record, 1));
+    require(index >= first && index <= first + entries.size());
     entries.resize(index - first);
   } else if (tag == "snapshot") {
     Snapshot s;
-    s.index = number_of(at(record, 1));
-    s.term = number_of(at(record, 2));
-    s.servers_index = number_of(at(record, 3));
+    s.index = decode_uint(at(record, 1));
+    s.term = decode_uint(at(record, 2));
+    s.servers_index = decode_uint(at(record, 3));
     s.servers = unpacked(at(record, 4));
-    s.bytes = bytes_in(at(record, 5));
-    first = number_of(at(record, 6));
-    want(entries.empty() && first <= s.index + 1);
+    s.bytes = decode_bytes(at(record, 5));
+    first = decode_uint(at(record, 6));
+    require(entries.empty() && first <= s.index + 1);
     snapshot = std::move(s);
   } else {
     return false;
@@ -91,7 +91,7 @@
   if (vote > 0) out.push_back({"vote", vote});
   if (snapshot) {
     out.push_back({"snapshot", snapshot->index, snapshot->term, snapshot->servers_index,
-                   packed(snapshot->servers), bytes_of(snapshot->bytes), first});
+                   packed(snapshot->servers), encode_bytes(snapshot->bytes), first});
   }
   for (size_t i = 0; i < entries.size(); ++i) out.push_back({"entry", first + i, packed(entries[i])});
   return out;
--- a/fleet/leadership_change.cpp
+++ b/fleet/leadership_change.cpp
@@ -11,18 +11,20 @@
   // One that is older than its relay waits for it has been given up there.
   if (!r.ask.is_array() || r.echo_term != reign_ || !busy_.empty()) return;
   if (now - static_cast<Time>(r.echo_stamp) > 2 * settings_.term) return;
-  const std::string kind = text_of(at(r.ask, 0), kMostName);
+  const std::string kind = decode_text(at(r.ask, 0), kMaxNameSize);
   if (kind == "propose") {
-    const Change c{text_of(at(r.ask, 1), kMostId), text_of(at(r.ask, 2), kMostName), number_of(at(r.ask, 3)),
-                   text_of(at(r.ask, 4), kMostPolicy), number_of(at(r.ask, 5))};
+    const Change c{decode_text(at(r.ask, 1), kMostId), decode_text(at(r.ask, 2), kMaxNameSize),
+                   decode_uint(at(r.ask, 3)), decode_text(at(r.ask, 4), kMostPolicy),
+                   decode_uint(at(r.ask, 5))};
     if (!log_.knows(c.id) && raft_.propose(PolicyLog::propose(c))) busy_ = log_.knows(c.id) ? "" : c.id;
   } else if (kind == "abort") {
-    const std::string id = text_of(at(r.ask, 1), kMostId);
+    const std::string id = decode_text(at(r.ask, 1), kMostId);
     const bool under_way = log_.change() && log_.change()->id == id;
     if (!under_way && log_.knows(id)) return;
-    raft_.propose(PolicyLog::abort(id, text_of(at(r.ask, 2), kMostName), "staff aborted it"));
+    raft_.propose(PolicyLog::abort(id, decode_text(at(r.ask, 2), kMaxNameSize), "staff aborted it"));
   } else if (kind == "replace") {
-    const std::string old = text_of(at(r.ask, 1), kMostName), fresh = text_of(at(r.ask, 2), kMostName);
+    const std::string old = decode_text(at(r.ask, 1), kMaxNameSize),
+                      fresh = decode_text(at(r.ask, 2), kMaxNameSize);
     if (log_.voters().contains(old)) raft_.propose(PolicyLog::replace(old, fresh));
   }
 }
--- a/fleet/membership.h
+++ b/fleet/membership.h
@@ -1,30 +1,32 @@
-// A view of the fleet kept by its members: who lives, at which incarnation, of which version.
+// Group membership of the fleet: each member keeps a view of which members are alive, with their incarnation
+// and version.
 //
-// SWIM (Das, Gupta, Motivala, 2002: ping, indirect ping, suspicion, refutation by incarnation, rumours
-// carried by the probes) with Lifeguard's three parts (Dadgar, Phillips, Currey, 2018: a member's doubt in
-// its own health, suspicion that lasts the shorter the more confirm it, the suspect told first), and a
-// comparison of whole views by digest, so that halves of a healed split converge.
+// The protocol is SWIM (Das, Gupta, Motivala, 2002: ping, indirect ping, suspicion, refutation by a higher
+// incarnation, gossip piggybacked on the pings) with the three extensions of Lifeguard (Dadgar, Phillips,
+// Currey, 2018: a local health score, a suspicion timeout that shrinks with the number of confirmations, and
+// a ping that tells a suspect of the suspicion). Comparing digests of whole views (anti-entropy) lets both
+// sides of a healed partition converge.
 //
-// States of a member, in another's view, and what moves them:
-//   unknown -> alive    anything that says so
-//   alive   -> suspect  a probe and its indirect ones went unanswered, here or at another (`by`)
-//   suspect -> alive    the member says so, with a higher incarnation
-//   suspect -> dead     nobody refuted for the suspicion time
-//   any     -> left     the member said so; dead -> left at the same incarnation
-//   dead, left -> alive the member says so, with a higher incarnation
-// Of two words about one member the one with the higher incarnation holds; of equal ones the later in this
-// order: alive, suspect, dead, left. Only a member raises its own incarnation.
+// States of a member in another member's view, and the transitions:
+//   unknown -> alive    any update says that it is alive
+//   alive   -> suspect  a ping and its indirect pings stayed unanswered, here or at another member
+//   suspect -> alive    the member refutes with a higher incarnation
+//   suspect -> dead     the suspicion timeout ends without a refutation
+//   any     -> left     the member announced it; also dead -> left at the same incarnation
+//   dead, left -> alive the member announces itself with a higher incarnation
+// Of two updates about a member the one with the higher incarnation wins; at the same incarnation the later
+// state in the order alive, suspect, dead, left. Only the member itself raises its incarnation.
 //
-// Promised, after the last fault and while most datagrams come through: all live members hold the same view
-// (equal digest()) within 4 + 3 log2(n) periods; a member that stands still for less than suspicion_least()
-// less one period is not declared dead; what a member sends per period does not grow with n; nothing grows
-// with time: records are one a configured name, kept for as long as it is configured, so that old rumours of
-// one long gone change nothing. Not promised: agreement at any moment, in a split or out of one; the truth
-// about a member that is up but cannot be reached; anything where a member lies (datagrams are not
-// authenticated).
+// Guarantees, once faults have ended and while most datagrams arrive: all alive members hold the same view
+// (equal digest()) within 4 + 3 log2(n) periods; a member that is paused for less than
+// min_suspicion_timeout() minus one period is not declared dead; the traffic per member and period does not
+// grow with n; memory does not grow with time. There is one record per configured name, kept for as long as
+// the name is configured, so late rumors about a member that is long gone change nothing.
+// Not guaranteed: agreement at every moment, during a partition or outside one; that a member which is up but
+// unreachable is seen as alive; anything if a member lies (datagrams are not authenticated).
 //
-// One that wakes late (stopped, or a busy core) doubts itself first: it judges nobody by the time that it
-// slept.
+// A member whose timer fires late (stopped process, busy core) sets its own health score to the worst value
+// and extends its pending suspicions by the length of the pause.
 #pragma once
 
 #include <array>
@@ -35,167 +37,171 @@
 #include <set>
 #include <span>
 
-#include "codec.h"
-#include "machine.h"
+#include "membership_codec.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
-class Membership : public Machine {
+class Membership : public StateMachine {
  public:
   struct Settings {
     std::string cluster;
-    std::string name;                // this member's, one of `names`
+    std::string name;                // of this member, one of `names`
     std::vector<std::string> names;  // of all members
     Time period = 500 * kMs;
     std::string version;
     uint64_t started_ms = 0;
-    uint64_t incarnation = 0;  // the highest that this name is known to have had; 0: none is known
-    // Parts that can be left out, to see what each buys.
-    bool health = true;   // Lifeguard's three
-    bool compare = true;  // whole views
+    uint64_t incarnation = 0;  // highest one this name is known to have used; 0: none known
+    // Can be disabled to measure the benefit of each.
+    bool lifeguard = true;     // the three extensions of Lifeguard
+    bool anti_entropy = true;  // periodic comparison of view digests
   };
   struct Event {
-    enum class What { kJoined, kSuspect, kRefuted, kLeft, kDead, kDisagrees, kAgrees };
-    What what;
+    enum class Type { kJoined, kSuspect, kRefuted, kLeft, kDead, kViewsDiverged, kViewsConverged };
+    Type type;
     std::string name;
-    std::string by;
+    std::string suspected_by;
   };
-  struct Record {
+  struct Record {  // what this member knows about another
     State state = State::kUnknown;
     uint64_t incarnation = 0;
-    Time since = 0;  // in this state
+    Time state_since = 0;
     std::string version;
     uint64_t started_ms = 0;
-    // While it is a suspect: by whom, and until when.
-    std::set<std::string> doubters;
-    Time doubted = 0;
-    Time deadline = kNever;
+    // Only for kSuspect.
+    std::set<std::string> suspected_by;  // "doubted_by" in the reply to FLEET
+    Time suspected_at = 0;
+    Time suspicion_deadline = kNever;  // then it is declared dead
   };
-  struct Dropped {  // datagrams, by reason
-    std::array<uint64_t, kFaultNames.size()> unreadable = {};
-    uint64_t stranger = 0;    // from a name that is not configured
-    uint64_t other_name = 0;  // it says that it is another than its address is configured for
-    uint64_t itself = 0;      // it says that it is this member
+  struct Dropped {  // dropped datagrams, by reason
+    std::array<uint64_t, kPacketErrorNames.size()> unreadable = {};
+    uint64_t unknown_sender = 0;    // "stranger" in METRICS: from a name that is not configured
+    uint64_t name_mismatch = 0;     // "other_name": claims another name than its address is configured for
+    uint64_t own_name_claimed = 0;  // "itself": claims the name of this member
   };
 
   Membership(Settings settings, uint64_t seed);
 
   void start(Time now) override;
-  void received(Time now, const std::string& from, std::string_view bytes) override;
-  void woke(Time now) override;
-  Time next() const override { return next_; }
+  void on_datagram(Time now, const std::string& from, std::string_view bytes) override;
+  void on_timer(Time now) override;
+  Time next_wakeup() const override { return next_wakeup_; }
 
-  // Tells some that it leaves; it still answers until it is gone.
+  // Announces to some members that this one leaves. It keeps answering until it is destroyed.
   void leave();
-  // Other names from now on; records of those that stay are kept.
-  void rename(std::vector<std::string> names);
+  // Replaces the configured names; records of names that stay are kept.
+  void set_members(std::vector<std::string> names);
 
-  // What has happened since it was last asked for; at most kMostEvents, the oldest are lost.
-  static constexpr size_t kMostEvents = 10'000;
-  std::vector<Event> events() { return std::exchange(events_, {}); }
+  // Events since the last call; only the newest kMaxEvents are kept.
+  static constexpr size_t kMaxEvents = 10'000;
+  std::vector<Event> take_events() { return std::exchange(events_, {}); }
 
   const std::vector<std::string>& names() const { return *names_; }
   const std::string& own_name() const { return settings_.name; }
   const Record* find(const std::string& name) const;
-  size_t count(State state) const { return counts_[static_cast<size_t>(state)]; }
-  size_t live() const { return count(State::kAlive) + count(State::kSuspect); }
-  uint64_t digest() const;  // of who lives and at which incarnation; suspects live
+  size_t count(State state) const { return state_counts_[static_cast<size_t>(state)]; }
+  // Including suspects.
+  size_t alive_count() const { return count(State::kAlive) + count(State::kSuspect); }
+  uint64_t digest() const;  // of the alive members (suspects count as alive) and their incarnations
   uint64_t incarnation() const { return incarnation_; }
-  int health() const { return health_; }  // 0: good; up to kWorstHealth
-  Time suspicion_least() const;
+  int health_score() const { return health_score_; }  // 0: healthy, up to kMaxHealthScore
+  Time min_suspicion_timeout() const;
   const Dropped& dropped() const { return dropped_; }
-  bool disagrees() const { return disagrees_since_ != kNever; }
-  Time disagrees_since() const { return disagrees_since_; }
+  // Whether other members have held a different view for longer than views take to converge.
+  bool views_diverged() const { return diverged_since_ != kNever; }
+  Time diverged_since() const { return diverged_since_; }
 
-  // All that decides what it does next, times counted from now: two with the same behave the same but for
-  // chance.
+  // Hash of the state that determines future behavior, with times relative to `now`: two members with equal
+  // fingerprints behave alike except for their random choices.
   uint64_t fingerprint(Time now) const;
 
-  static constexpr int kWorstHealth = 8;
+  static constexpr int kMaxHealthScore = 8;
 
-  // Planted for the model checker: refutations are not sent.
-  bool planted_never_refutes = false;
+  // Fault injected by the model checker's test: refutations are not sent.
+  bool inject_never_refutes = false;
 
  private:
   struct Probe {
     size_t target;
-    uint64_t number;
-    Time direct_until;  // then others are asked
-    Time until;
-    uint64_t heard;  // datagrams until then
-    bool asked = false;
+    uint64_t sequence_number;
+    Time direct_deadline;  // when to send ping requests to other members
+    Time deadline;
+    uint64_t received_before;  // received_count_ when the probe started
+    bool ping_requests_sent = false;
   };
-  struct Relayed {  // a ping for another
+  struct IndirectPing {  // sent on behalf of `origin`
     std::string origin;
-    uint64_t number;
+    uint64_t sequence_number;
     Time nack_at;
-    Time until;
+    Time expires_at;
   };
-  struct Rumour {
+  struct Rumor {
     Update update;
-    int sent = 0;
-    uint64_t order = 0;
+    int transmissions = 0;
+    uint64_t order = 0;  // the older first
   };
 
-  size_t index(const std::string& name) const;  // names().size(): not configured
+  size_t index_of(const std::string& name) const;  // names().size() if not configured
   Record& record(size_t i) { return records_[i]; }
   Update update_of(size_t i) const;
-  Update self() const;
-  // Takes a word about a member in; answers whether it was news.
-  bool hear(Time now, const Update& update);
-  void hear_of_self(const Update& update);
-  void set_state(Time now, size_t i, State state, const std::string& by);
-  void suspect(Time now, size_t i, const std::string& by);
-  void deadline(size_t i, Time at);
-  Time suspicion_of(const Record& r) const;  // how long it lasts
-  void rumour(const Update& update);
-  void refute(uint64_t above);
-  void tell_news(const std::string& to);
-  void reply(Kind kind, const std::string& to, uint64_t number, const std::vector<Update>& first = {});
-  // Answers how many of `first` had room.
-  size_t dispatch(Packet packet, const std::string& to, std::span<const Update> first = {});
-  void answer_compare(const Packet& packet, const std::string& from);
+  Update own_update() const;
+  // Applies an update received or made here. Returns whether it changed the view.
+  bool apply_update(Time now, const Update& update);
+  void apply_update_about_self(const Update& update);
+  void set_state(Time now, size_t i, State state, const std::string& suspected_by);
+  void suspect(Time now, size_t i, const std::string& suspected_by);
+  void set_suspicion_deadline(size_t i, Time at);
+  Time suspicion_timeout(const Record& r) const;
+  void enqueue_rumor(const Update& update);
+  void refute(uint64_t incarnation);
+  void send_gossip(const std::string& to);
+  void send_packet(PacketType type, const std::string& to, uint64_t sequence_number,
+                   const std::vector<Update>& priority = {});
+  // Sends `packet` with the updates in `priority` and as many rumors as fit. Returns how many of `priority`
+  // fit.
+  size_t send_with_gossip(Packet packet, const std::string& to, std::span<const Update> priority = {});
+  void answer_digests(const Packet& packet, const std::string& from);
   void send_records(const std::string& to, const std::vector<Update>& updates);
-  void compare_with(const std::string& to);
-  void next_probe(Time now);
-  void end_probe(Time now);
-  void ask_others();
-  void judge(Time now);
-  void arm();
-  void worse(int by);
-  std::vector<size_t> some(size_t count, size_t but) const;  // live members at random
-  int most_sent() const;
+  void send_digests(const std::string& to);
+  void begin_period(Time now);
+  void fail_probe(Time now);
+  void send_ping_requests();
+  void expire_suspicions(Time now);
+  void schedule_wakeup();
+  void adjust_health_score(int delta);
+  std::vector<size_t> random_alive_members(size_t count, size_t excluded) const;
+  int max_transmissions() const;
   uint64_t bucket_of(size_t i) const;
   std::vector<uint64_t> bucket_digests() const;
-  void note_digest(Time now, const std::string& from, uint64_t digest);
-  void event(Event::What what, size_t i, const std::string& by = "");
+  void record_digest(Time now, const std::string& from, uint64_t digest);
+  void add_event(Event::Type type, size_t i, const std::string& suspected_by = "");
 
   Settings settings_;
-  std::shared_ptr<const std::vector<std::string>> names_;  // sorted
-  size_t self_;
-  mutable pcg32 chance_;
+  std::shared_ptr<const std::vector<std::string>> names_;  // of all configured members, sorted
+  size_t own_index_;
+  mutable pcg32 rng_;
   uint64_t incarnation_;
   bool leaving_ = false;
-  int health_ = 0;
+  int health_score_ = 0;
   std::vector<Record> records_;
-  std::array<size_t, kStateNames.size()> counts_ = {};
+  std::array<size_t, kStateNames.size()> state_counts_ = {};
   uint64_t digest_ = 0;
-  std::set<std::pair<Time, size_t>> deadlines_;  // of suspects
-  std::vector<size_t> round_;                    // to be probed, the next last
+  std::set<std::pair<Time, size_t>> suspicion_deadlines_;  // with the index of the suspect
+  std::vector<size_t> probe_queue_;  // members still to be probed in this round; the next one is last
   std::optional<Probe> probe_;
-  uint64_t last_number_ = 0;
-  std::map<uint64_t, Relayed> relayed_;
-  std::map<size_t, Rumour> rumours_;                     // by member
-  std::set<std::tuple<int, uint64_t, size_t>> to_tell_;  // the least told first
-  uint64_t order_ = 0;
-  Time tick_ = kNever;  // the next period's beginning
-  Time next_ = kNever;
-  uint64_t periods_ = 0;
-  uint64_t heard_ = 0;
-  uint32_t compared_last_ = 0;  // of the last datagrams: whether their views differed, a bit each
-  Time agreed_ = 0;             // when they last did not
-  Time disagrees_since_ = kNever;
-  Time compared_ = 0;  // when views were last compared for a digest that differed
+  uint64_t last_sequence_number_ = 0;
+  std::map<uint64_t, IndirectPing> indirect_pings_;
+  std::map<size_t, Rumor> rumors_;                            // by member index
+  std::set<std::tuple<int, uint64_t, size_t>> gossip_queue_;  // transmissions, order, member index
+  uint64_t last_rumor_order_ = 0;
+  Time next_period_ = kNever;
+  Time next_wakeup_ = kNever;
+  uint64_t period_count_ = 0;
+  uint64_t received_count_ = 0;      // valid datagrams
+  uint32_t recent_differences_ = 0;  // one bit for each of the last datagrams: 1 if its digest differed
+  Time last_agreement_ = 0;          // the last time at which at most one of these bits was set
+  Time diverged_since_ = kNever;
+  Time last_digests_sent_ = 0;  // in response to a digest that differed
   std::vector<Event> events_;
   Dropped dropped_;
 };
--- a/fleet/policy_log.cpp
+++ b/fleet/policy_log.cpp
@@ -15,10 +15,10 @@
 }
 
 Outcome outcome_of(const json& from) {
-  const uint64_t what = number_of(at(from, 1));
-  want(what <= 2);
-  return {text_of(at(from, 0), kMostId), static_cast<Outcome::What>(what),  number_of(at(from, 2)),
-          text_of(at(from, 3), kMostId), text_of(at(from, 4), kMostReason), number_of(at(from, 5))};
+  const uint64_t what = decode_uint(at(from, 1));
+  require(what <= 2);
+  return {decode_text(at(from, 0), kMostId), static_cast<Outcome::What>(what),      decode_uint(at(from, 2)),
+          decode_text(at(from, 3), kMostId), decode_text(at(from, 4), kMostReason), decode_uint(at(from, 5))};
 }
 
 namespace {
@@ -26,8 +26,8 @@
 json packed(const Change& c) { return {c.id, c.by, c.base, c.text, c.wall_ms}; }
 
 Change change_of(const json& from) {
-  return {text_of(at(from, 0), kMostId), text_of(at(from, 1), kMostId), number_of(at(from, 2)),
-          text_of(at(from, 3), kMostPolicy), number_of(at(from, 4))};
+  return {decode_text(at(from, 0), kMostId), decode_text(at(from, 1), kMostId), decode_uint(at(from, 2)),
+          decode_text(at(from, 3), kMostPolicy), decode_uint(at(from, 4))};
 }
 
 std::string command(json fields) { return to_cbor(fields); }
@@ -62,14 +62,14 @@
 void PolicyLog::apply(std::string_view bytes) try {
   using What = Outcome::What;
   const json c = from_cbor(bytes);
-  const std::string tag = text_of(at(c, 0), kMostId);
+  const std::string tag = decode_text(at(c, 0), kMostId);
   if (tag == "reign") {
-    reign_ = number_of(at(c, 1));
+    reign_ = decode_uint(at(c, 1));
   } else if (tag == "first") {
     if (version_ > 0) return;
     std::set<std::string> voters;
-    for (const json& name : at(c, 2)) voters.insert(text_of(name, kMostId));
-    texts_ = {text_of(at(c, 1), kMostPolicy)};
+    for (const json& name : at(c, 2)) voters.insert(decode_text(name, kMostId));
+    texts_ = {decode_text(at(c, 1), kMostPolicy)};
     voters_ = std::move(voters);
     version_ = 1;
     id_ = "first";
@@ -91,26 +91,26 @@
       end({next.id, What::kRefused, 0, next.by, no, next.wall_ms});
     }
   } else if (tag == "decide") {
-    if (!change_ || change_->id != text_of(at(c, 1), kMostId)) return;
+    if (!change_ || change_->id != decode_text(at(c, 1), kMostId)) return;
     texts_.push_back(change_->text);
     if (texts_.size() > kMostTexts) texts_.pop_front();
     id_ = change_->id;
     end({change_->id, What::kInForce, ++version_, change_->by, "", change_->wall_ms});
     change_.reset();
   } else if (tag == "abort") {
-    const std::string id = text_of(at(c, 1), kMostId);
-    const std::string by = text_of(at(c, 2), kMostId), reason = text_of(at(c, 3), kMostReason);
+    const std::string id = decode_text(at(c, 1), kMostId);
+    const std::string by = decode_text(at(c, 2), kMostId), reason = decode_text(at(c, 3), kMostReason);
     const bool under_way = change_ && change_->id == id;
     if (!under_way && knows(id)) return;
     end({id, What::kAborted, 0, by, reason, under_way ? change_->wall_ms : 0});
     if (under_way) change_.reset();
   } else if (tag == "replace") {
-    const std::string old = text_of(at(c, 1), kMostId), fresh = text_of(at(c, 2), kMostId);
+    const std::string old = decode_text(at(c, 1), kMostId), fresh = decode_text(at(c, 2), kMostId);
     if (!voters_.contains(old) || voters_.contains(fresh)) return;
     voters_.erase(old);
     voters_.insert(fresh);
   }
-} catch (const Bad&) {
+} catch (const DecodeError&) {
 }
 
 std::string PolicyLog::state() const {
@@ -123,16 +123,16 @@
 void PolicyLog::restore(std::string_view bytes) {
   const json s = from_cbor(bytes);
   PolicyLog out;
-  out.version_ = number_of(at(s, 0));
-  out.id_ = text_of(at(s, 1), kMostId);
-  for (const json& text : at(s, 2)) out.texts_.push_back(text_of(text, kMostPolicy));
+  out.version_ = decode_uint(at(s, 0));
+  out.id_ = decode_text(at(s, 1), kMostId);
+  for (const json& text : at(s, 2)) out.texts_.push_back(decode_text(text, kMostPolicy));
   if (!at(s, 3).is_null()) out.change_ = change_of(at(s, 3));
   for (const json& o : at(s, 4)) out.outcomes_.push_back(outcome_of(o));
-  out.ended_ = number_of(at(s, 5));
-  out.reign_ = number_of(at(s, 6));
-  for (const json& name : at(s, 7)) out.voters_.insert(text_of(name, kMostId));
-  want(out.outcomes_.size() <= kMostOutcomes && out.texts_.size() <= kMostTexts &&
-       (out.version_ == 0) == out.texts_.empty());
+  out.ended_ = decode_uint(at(s, 5));
+  out.reign_ = decode_uint(at(s, 6));
+  for (const json& name : at(s, 7)) out.voters_.insert(decode_text(name, kMostId));
+  require(out.outcomes_.size() <= kMostOutcomes && out.texts_.size() <= kMostTexts &&
+          (out.version_ == 0) == out.texts_.empty());
   *this = std::move(out);
 }
 
--- a/fleet/policy_log.h
+++ b/fleet/policy_log.h
@@ -12,7 +12,7 @@
 #include <set>
 #include <string>
 
-#include "reading.h"
+#include "decoding.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/rate_check.h
+++ b/fleet/rate_check.h
@@ -2,7 +2,7 @@
 // past the bound (1 in kDriftOne) would make a lease last longer here than the leader counts.
 #pragma once
 
-#include "machine.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/records.h
+++ b/fleet/records.h
@@ -1,9 +1,9 @@
-// A file of records that are appended: each has its length, a check of its own head and a checksum (XXH64)
-// of its body.
+// File format of append-only record files: each record has its length, a checksum of the length and a
+// checksum (XXH64) of its body.
 //
-// Promised to a reader: a record is given whole and as it was written, or not at all. A file that ends within
-// a record was torn by a crash, and what comes before is whole. A head or body that fails its check is
-// corruption: nothing after it is guessed at, and nothing is cut off.
+// Guarantee: a record is read exactly as it was written, or not at all. A file that ends within a record was
+// torn by a crash during the write; the records before it are valid. A header or body with a wrong checksum
+// is corruption: reading stops there, and the file is left as it is.
 #pragma once
 
 #include <string>
@@ -12,14 +12,14 @@
 
 namespace umberhoist::fleet {
 
-// At most 2^32 - 1 bytes.
-std::string framed(std::string_view body);
+// Returns `body` with its record header. Requires a body of at most 2^32 - 1 bytes.
+std::string frame_record(std::string_view body);
 
 struct Records {
-  enum class End { kWhole, kTorn, kCorrupt };
+  enum class End { kComplete, kTorn, kCorrupt };
   std::vector<std::string> bodies;
-  size_t whole = 0;  // bytes up to the end of the last one
-  End end = End::kWhole;
+  size_t valid_bytes = 0;  // bytes up to the end of the last valid record
+  End end = End::kComplete;
 };
 
 Records read_records(std::string_view bytes);
--- a/fleet/rider.h
+++ b/fleet/rider.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "machine.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/lab/agreement_guest.cpp
+++ b/lab/agreement_guest.cpp
@@ -35,19 +35,19 @@
   carry_out(now);
 }
 
-void AgreementGuest::received(Time now, const std::string& from, std::string_view bytes) {
+void AgreementGuest::on_datagram(Time now, const std::string& from, std::string_view bytes) {
   if (dead_) return;
   agreement_.received(clock_.local(now), from, bytes);
   carry_out(now);
 }
 
-void AgreementGuest::woke(Time now) {
+void AgreementGuest::on_timer(Time now) {
   if (dead_) return;
   agreement_.woke(clock_.local(now));
   carry_out(now);
 }
 
-Time AgreementGuest::next() const {
+Time AgreementGuest::next_wakeup() const {
   const Time at = dead_ ? fleet::kNever : agreement_.next();
   return at == fleet::kNever ? at : clock_.real(at) + 1;
 }
--- a/lab/agreement_guest.h
+++ b/lab/agreement_guest.h
@@ -10,7 +10,7 @@
 
 namespace umberhoist::lab {
 
-class AgreementGuest : public fleet::Machine {
+class AgreementGuest : public fleet::StateMachine {
  public:
   struct Folder {  // what outlasts a crash
     std::string file;
@@ -29,9 +29,9 @@
   ~AgreementGuest() override { audit_.crashed(relay_); }
 
   void start(Time now) override;
-  void received(Time now, const std::string& from, std::string_view bytes) override;
-  void woke(Time now) override;
-  Time next() const override;
+  void on_datagram(Time now, const std::string& from, std::string_view bytes) override;
+  void on_timer(Time now) override;
+  Time next_wakeup() const override;
 
   // The process dies after so many more outputs; a write that it dies in is torn. -1: it does not.
   int dies_after = -1;
--- a/lab/sim.cpp
+++ b/lab/sim.cpp
@@ -52,9 +52,9 @@
   if (!std::exchange(m.paused, false) || !m.machine) return;
   // What came meanwhile is read first, or the clock is looked at first: both happen.
   const bool clock_first = std::uniform_int_distribution<int>(0, 1)(chance_) == 1;
-  if (clock_first && m.machine->next() <= now_) m.machine->woke(now_);
+  if (clock_first && m.machine->next_wakeup() <= now_) m.machine->on_timer(now_);
   for (const auto& [from, bytes] : std::exchange(m.buffered, {})) {
-    m.machine->received(now_, member_name(from), bytes);
+    m.machine->on_datagram(now_, member_name(from), bytes);
   }
   m.armed = fleet::kNever;
   flush(member);
@@ -67,14 +67,14 @@
     if (m.buffered.size() < kMostBuffered) m.buffered.emplace_back(from, bytes);
     return;
   }
-  m.machine->received(now_, member_name(from), bytes);
+  m.machine->on_datagram(now_, member_name(from), bytes);
   flush(member);
 }
 
 // What a machine left after a call is sent, and its next time is kept.
 void SimNetwork::flush(int member) {
   Member& m = of(member);
-  for (fleet::Datagram& one : m.machine->take()) {
+  for (fleet::Datagram& one : m.machine->take_datagrams()) {
     m.bytes += one.bytes.size();
     ++datagrams_;
     const int to = number(one.to);
@@ -91,7 +91,7 @@
       at(now_ + wait, [this, member, to, bytes = one.bytes] { deliver(to, member, bytes); });
     }
   }
-  const Time next = m.machine->next();
+  const Time next = m.machine->next_wakeup();
   if (next >= m.armed || next == fleet::kNever) return;
   m.armed = next;
   at(next, [this, member, life = m.life, next] {
@@ -99,7 +99,7 @@
     if (later.life != life || later.armed != next) return;
     later.armed = fleet::kNever;
     if (!later.machine || later.paused) return;
-    if (later.machine->next() <= now_) later.machine->woke(now_);
+    if (later.machine->next_wakeup() <= now_) later.machine->on_timer(now_);
     flush(member);
   });
 }
@@ -183,7 +183,7 @@
       if (!watcher->watches(name)) continue;
       ++checked;
       const bool up = network.up(network.number(name));
-      if (up != watcher->gone().contains(name)) continue;
+      if (up != watcher->failed().contains(name)) continue;
       if (wrong++ == 0) first = member_name(i) + " takes " + name + " for " + (up ? "gone" : "alive");
     }
   }
--- a/lab/sim.h
+++ b/lab/sim.h
@@ -9,7 +9,7 @@
 #include <queue>
 #include <set>
 
-#include "../fleet/machine.h"
+#include "../fleet/state_machine.h"
 #include "plan.h"
 
 namespace umberhoist::lab {
@@ -29,7 +29,7 @@
     double duplicate = 0;
     double reorder = 0;
   };
-  using Make = std::function<std::unique_ptr<fleet::Machine>(int member, uint64_t seed, int life)>;
+  using Make = std::function<std::unique_ptr<fleet::StateMachine>(int member, uint64_t seed, int life)>;
 
   SimNetwork(int members, uint64_t seed, Make make);
 
@@ -50,7 +50,7 @@
   Time now() const { return now_; }
   int members() const { return static_cast<int>(members_.size()); }
   bool up(int member) const { return of(member).machine && !of(member).paused; }
-  fleet::Machine* machine(int member) { return of(member).machine.get(); }
+  fleet::StateMachine* machine(int member) { return of(member).machine.get(); }
   uint64_t bytes(int member) const { return of(member).bytes; }
   uint64_t all_bytes() const;
   uint64_t datagrams() const { return datagrams_; }
@@ -58,7 +58,7 @@
 
  private:
   struct Member {
-    std::unique_ptr<fleet::Machine> machine;
+    std::unique_ptr<fleet::StateMachine> machine;
     bool paused = false;
     int life = 0;
     uint64_t bytes = 0;
--- a/lab/sim_agreement.cpp
+++ b/lab/sim_agreement.cpp
@@ -46,7 +46,7 @@
   }
 
  private:
-  std::unique_ptr<fleet::Machine> make(int member, uint64_t seed) {
+  std::unique_ptr<fleet::StateMachine> make(int member, uint64_t seed) {
     Folder& folder = folders_[static_cast<size_t>(member)];
     auto guest = std::make_unique<AgreementGuest>(
         member,
--- a/lab/sim_budgets.cpp
+++ b/lab/sim_budgets.cpp
@@ -50,7 +50,7 @@
  private:
   using Folder = AgreementGuest::Folder;
 
-  std::unique_ptr<fleet::Machine> make(int member, uint64_t seed) {
+  std::unique_ptr<fleet::StateMachine> make(int member, uint64_t seed) {
     const auto m = static_cast<size_t>(member);
     auto process = std::make_shared<BudgetProcess>(member, scenario_.relays, seed + 1, period_, term_,
                                                    clocks_[m], audit_, fleet::Divider::Plant::kNothing);
--- a/lab/sim_membership.cpp
+++ b/lab/sim_membership.cpp
@@ -55,7 +55,7 @@
   }
 
  private:
-  std::unique_ptr<fleet::Machine> make(int member, uint64_t chance, int life) {
+  std::unique_ptr<fleet::StateMachine> make(int member, uint64_t chance, int life) {
     Membership::Settings s;
     s.cluster = "sim";
     s.name = member_name(member);
@@ -64,7 +64,7 @@
     s.version = "1";
     s.started_ms = static_cast<uint64_t>(life);
     s.incarnation = stored_[static_cast<size_t>(member)];
-    s.health = s.compare = !scenario_.sim.plain;
+    s.lifeguard = s.anti_entropy = !scenario_.sim.plain;
     return std::make_unique<Membership>(std::move(s), chance);
   }
 
@@ -77,12 +77,12 @@
       down = network_.up(i) ? -1 : down < 0 ? now : down;
       if (m == nullptr) continue;
       stored_[static_cast<size_t>(i)] = std::max(stored_[static_cast<size_t>(i)], m->incarnation());
-      for (const Membership::Event& e : m->events()) {
+      for (const Membership::Event& e : m->take_events()) {
         const int about = network_.number(e.name);
         const bool crashed = network_.machine(about) == nullptr;
-        if (e.what == Membership::Event::What::kSuspect) ++suspicions_;
-        if (e.what == Membership::Event::What::kDisagrees) ++disagreements_;
-        if (e.what != Membership::Event::What::kDead) continue;
+        if (e.type == Membership::Event::Type::kSuspect) ++suspicions_;
+        if (e.type == Membership::Event::Type::kViewsDiverged) ++disagreements_;
+        if (e.type != Membership::Event::Type::kDead) continue;
         if (!crashed) {
           ++false_deaths_;
           if (first_false_.empty()) {
@@ -107,7 +107,7 @@
     for (int i = 0; i < scenario_.relays; ++i) {
       if (!network_.up(i)) continue;
       const Membership* m = member(i);
-      if (m->live() != up || (!first && m->digest() != digest)) return false;
+      if (m->alive_count() != up || (!first && m->digest() != digest)) return false;
       digest = m->digest();
       first = false;
     }
--- a/relay/access_link.cpp
+++ b/relay/access_link.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <nlohmann/json.hpp>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 #include "../fleet/records.h"
 #include "disk_faults.h"
 #include "lasting_file.h"
@@ -40,10 +40,10 @@
     restored_ = true;
     for (const std::string& body : file.bodies) {
       const nlohmann::json whole = fleet::from_cbor(body);
-      const auto wall = static_cast<Time>(fleet::number_of(fleet::at(whole, 0)));
-      spread_.restore(steady_now(), fleet::bytes_in(fleet::at(whole, 1)), instant_now().wall - wall);
+      const auto wall = static_cast<Time>(fleet::decode_uint(fleet::at(whole, 0)));
+      spread_.restore(steady_now(), fleet::decode_bytes(fleet::at(whole, 1)), instant_now().wall - wall);
     }
-  } catch (const fleet::Bad&) {
+  } catch (const fleet::DecodeError&) {
     log_event(LogLevel::kWarning, "access_parts_unreadable",
               "access: what was known of other relays' hits does not read; they will tell it again");
   } catch (const DiskFault& fault) {
@@ -87,21 +87,22 @@
 void AccessLink::heard(const std::string& from, std::string_view bytes) {
   see_own();
   heard_ = steady_now();
-  spread_.received(heard_, from, bytes);
+  spread_.on_datagram(heard_, from, bytes);
   step();
 }
 
 void AccessLink::step() {
-  for (const auto& message : spread_.take()) fleet_->wire().send(message.to, kChannel, message.bytes);
+  for (const auto& message : spread_.take_datagrams())
+    fleet_->wire().send(message.to, kChannel, message.bytes);
 }
 
 void AccessLink::arm() {
-  timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, spread_.next() - steady_now())));
+  timer_.expires_after(std::chrono::microseconds(std::max<Time>(0, spread_.next_wakeup() - steady_now())));
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error || fleet_ == nullptr) return;
     see_own();
     spread_.peers(fleet_->live_peers());
-    spread_.woke(steady_now());
+    spread_.on_timer(steady_now());
     step();
     if (steady_now() - written_ >= kWriteEvery) write();
     arm();
@@ -141,9 +142,9 @@
   }
   if (spread_.parts(written_).empty()) return;
   const std::string stored = spread_.stored(written_, most_);
-  const std::string body =
-      fleet::to_cbor({static_cast<uint64_t>(std::max<Time>(0, instant_now().wall)), fleet::bytes_of(stored)});
-  const std::string bytes = fleet::framed(body);
+  const std::string body = fleet::to_cbor(
+      {static_cast<uint64_t>(std::max<Time>(0, instant_now().wall)), fleet::encode_bytes(stored)});
+  const std::string bytes = fleet::frame_record(body);
   if (bytes.size() > most_ || !LastingFile(path_).replace(bytes)) ++unwritten_;
 }
 
--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -75,8 +75,8 @@
   for (const auto& peer : settings_.peers) names.push_back(peer.name);
   if (names.size() != view_.names().size() ||
       !std::is_permutation(names.begin(), names.end(), view_.names().begin())) {
-    count_.configure(static_cast<int>(names.size()));
-    view_.rename(std::move(names));
+    count_.set_configured(static_cast<int>(names.size()));
+    view_.set_members(std::move(names));
     counted_(count_.value());
   }
   step();
@@ -103,7 +103,7 @@
         ++unknown_address_;
         continue;
       }
-      view_.received(steady_now(), from->second, {buffer_.data(), count});
+      view_.on_datagram(steady_now(), from->second, {buffer_.data(), count});
     }
     step();
     receive();
@@ -112,7 +112,7 @@
 
 void FleetLink::step() {
   incarnation_.keep(view_.incarnation());  // before anything of a new incarnation is said
-  for (const fleet::Datagram& one : view_.take()) {
+  for (const fleet::Datagram& one : view_.take_datagrams()) {
     const auto to = addresses_.find(one.to);
     if (to == addresses_.end()) continue;
     Error failed;
@@ -124,22 +124,22 @@
     ++sent_;
     sent_bytes_ += one.bytes.size();
   }
-  for (const auto& event : view_.events()) tell(event);
-  if (count_.see(steady_now(), static_cast<int>(view_.live()))) counted_(count_.value());
+  for (const auto& event : view_.take_events()) tell(event);
+  if (count_.update(steady_now(), static_cast<int>(view_.alive_count()))) counted_(count_.value());
   arm();
 }
 
 void FleetLink::arm() {
-  timer_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(view_.next())));
+  timer_.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(view_.next_wakeup())));
   timer_.async_wait([this](const Error& error) {
     if (error) return;
-    view_.woke(steady_now());
+    view_.on_timer(steady_now());
     step();
   });
 }
 
 void FleetLink::tell(const fleet::Membership::Event& event) {
-  using What = fleet::Membership::Event::What;
+  using What = fleet::Membership::Event::Type;
   const Time now = steady_now();
   if (now - lines_since_ > kLinesIn) {
     if (lines_left_out_ > 0) {
@@ -160,16 +160,18 @@
                                                                    {"fleet_dead", "is gone"},
                                                                    {"fleet_disagrees", ""},
                                                                    {"fleet_agrees", ""}};
-  const auto& [name, words] = kWords[static_cast<size_t>(event.what)];
-  if (event.what == What::kDisagrees || event.what == What::kAgrees) {
-    log_event(event.what == What::kAgrees ? LogLevel::kInfo : LogLevel::kWarning, name,
-              event.what == What::kAgrees
+  const auto& [name, words] = kWords[static_cast<size_t>(event.type)];
+  if (event.type == What::kViewsDiverged || event.type == What::kViewsConverged) {
+    log_event(event.type == What::kViewsConverged ? LogLevel::kInfo : LogLevel::kWarning, name,
+              event.type == What::kViewsConverged
                   ? "fleet: all hear one view again"
                   : "fleet: others hold another view for longer than it takes to settle");
     return;
   }
-  log_info(name, "fleet: " + event.name + " " + words + (event.by.empty() ? "" : ", says " + event.by),
-           {{"peer", event.name}, {"by", event.by}});
+  log_info(name,
+           "fleet: " + event.name + " " + words +
+               (event.suspected_by.empty() ? "" : ", says " + event.suspected_by),
+           {{"peer", event.name}, {"by", event.suspected_by}});
 }
 
 std::vector<std::string> FleetLink::live_peers() const {
@@ -183,7 +185,7 @@
 Time FleetLink::gone_since(const std::string& name) const {
   const auto* r = view_.find(name);
   const bool gone = r != nullptr && (r->state == fleet::State::kDead || r->state == fleet::State::kLeft);
-  return gone ? std::max<Time>(1, r->since) : 0;
+  return gone ? std::max<Time>(1, r->state_since) : 0;
 }
 
 std::string FleetLink::members() const {
@@ -192,9 +194,9 @@
   for (const std::string& name : view_.names()) {
     const auto* r = view_.find(name);
     std::string doubters;
-    for (const std::string& by : r->doubters) doubters += (doubters.empty() ? "" : ",") + by;
-    out += name + " " + fleet::kStateNames[static_cast<size_t>(r->state)] +
-           " since_ms=" + std::to_string(r->state == fleet::State::kUnknown ? 0 : (now - r->since) / 1000) +
+    for (const std::string& by : r->suspected_by) doubters += (doubters.empty() ? "" : ",") + by;
+    out += name + " " + fleet::kStateNames[static_cast<size_t>(r->state)] + " since_ms=" +
+           std::to_string(r->state == fleet::State::kUnknown ? 0 : (now - r->state_since) / 1000) +
            " incarnation=" + std::to_string(r->incarnation) +
            " version=" + (r->version.empty() ? "-" : r->version) +
            " started_ms=" + std::to_string(r->started_ms) +
@@ -214,22 +216,22 @@
   }
   line("view_digest", view_.digest());
   line("view_disagrees_ms",
-       view_.disagrees() ? static_cast<uint64_t>((steady_now() - view_.disagrees_since()) / 1000) : 0);
+       view_.views_diverged() ? static_cast<uint64_t>((steady_now() - view_.diverged_since()) / 1000) : 0);
   line("incarnation", view_.incarnation());
-  line("health", static_cast<uint64_t>(view_.health()));
+  line("health", static_cast<uint64_t>(view_.health_score()));
   line("counts_for", static_cast<uint64_t>(count_.value()));
   line("datagrams_sent_total", sent_);
   line("bytes_sent_total", sent_bytes_);
   line("datagrams_unsent_total", unsent_);
   const auto& dropped = view_.dropped();
-  for (size_t f = 0; f < fleet::kFaultNames.size(); ++f) {
-    line(std::string("datagrams_dropped_total{reason=\"") + fleet::kFaultNames[f] + "\"}",
+  for (size_t f = 0; f < fleet::kPacketErrorNames.size(); ++f) {
+    line(std::string("datagrams_dropped_total{reason=\"") + fleet::kPacketErrorNames[f] + "\"}",
          dropped.unreadable[f]);
   }
   line("datagrams_dropped_total{reason=\"unknown_address\"}", unknown_address_);
-  line("datagrams_dropped_total{reason=\"stranger\"}", dropped.stranger);
-  line("datagrams_dropped_total{reason=\"other_name\"}", dropped.other_name);
-  line("datagrams_dropped_total{reason=\"itself\"}", dropped.itself);
+  line("datagrams_dropped_total{reason=\"stranger\"}", dropped.unknown_sender);
+  line("datagrams_dropped_total{reason=\"other_name\"}", dropped.name_mismatch);
+  line("datagrams_dropped_total{reason=\"itself\"}", dropped.own_name_claimed);
   return out + policy_->figures();
 }
 
--- a/relay/fleet_link.h
+++ b/relay/fleet_link.h
@@ -11,8 +11,8 @@
 #include <map>
 #include <memory>
 
-#include "../fleet/count.h"
 #include "../fleet/membership.h"
+#include "../fleet/relay_count.h"
 #include "budget.h"
 #include "config.h"
 #include "incarnation.h"
@@ -66,7 +66,7 @@
   boost::asio::steady_timer timer_;
   IncarnationFile incarnation_;
   umberhoist::fleet::Membership view_;
-  umberhoist::fleet::Count count_;
+  umberhoist::fleet::RelayCount count_;
   std::optional<PolicyLink> policy_;  // once the address is this process's
   std::map<std::string, udp::endpoint> addresses_;
   std::map<udp::endpoint, std::string> names_;
--- a/relay/fleet_wire_link.cpp
+++ b/relay/fleet_wire_link.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/asio/read.hpp>
 
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 #include "whole_write.h"
 
 namespace firspool::relay {
@@ -130,17 +130,17 @@
 bool FleetWire::Link::hello() {
   try {
     const json said = fleet::from_cbor(in_);
-    if (fleet::number_of(fleet::at(said, 0)) != kWire) return false;
-    if (fleet::text_of(fleet::at(said, 1), 64) != owner_->settings_.cluster) return false;
-    if (fleet::text_of(fleet::at(said, 3), 64) != owner_->name_) return false;
-    const std::string name = fleet::text_of(fleet::at(said, 2), 64);
+    if (fleet::decode_uint(fleet::at(said, 0)) != kWire) return false;
+    if (fleet::decode_text(fleet::at(said, 1), 64) != owner_->settings_.cluster) return false;
+    if (fleet::decode_text(fleet::at(said, 3), 64) != owner_->name_) return false;
+    const std::string name = fleet::decode_text(fleet::at(said, 2), 64);
     Error gone;
     const auto from = socket_.remote_endpoint(gone);
     const FleetSettings::Peer* known = owner_->find(name);
     if (gone || known == nullptr || known->address.address() != from.address()) return false;
     peer = name;
     return true;
-  } catch (const fleet::Bad&) {
+  } catch (const fleet::DecodeError&) {
     return false;
   }
 }
--- a/relay/incarnation.cpp
+++ b/relay/incarnation.cpp
@@ -21,7 +21,7 @@
   if (!text.is_object() || !text.contains("incarnation") || !text["incarnation"].is_number_unsigned())
     return 0;
   const auto value = text["incarnation"].get<uint64_t>();
-  return value <= umberhoist::fleet::kMostIncarnation ? value : 0;
+  return value <= umberhoist::fleet::kMaxIncarnation ? value : 0;
 }
 
 void IncarnationFile::keep(uint64_t incarnation) {
--- a/relay/journal_hits.cpp
+++ b/relay/journal_hits.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "../access/verdict_record.h"
-#include "../fleet/reading.h"
+#include "../fleet/decoding.h"
 #include "disk_faults.h"
 #include "lasting_file.h"
 
@@ -49,18 +49,18 @@
   try {
     const nlohmann::json whole = from_cbor(bytes);
     JournalHits out;
-    out.folder_ = number_of(at(whole, 0));
-    out.file_ = number_of(at(whole, 1));
-    out.folded_ = number_of(at(whole, 2));
-    out.counts_ = access::Counts::unpacked(bytes_in(at(whole, 3)));
+    out.folder_ = decode_uint(at(whole, 0));
+    out.file_ = decode_uint(at(whole, 1));
+    out.folded_ = decode_uint(at(whole, 2));
+    out.counts_ = access::Counts::unpacked(decode_bytes(at(whole, 3)));
     *this = std::move(out);
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     throw umberhoist::Fault(access::kHitsNewer, "journal", "has totals of hits that do not read");
   }
 }
 
 std::string JournalHits::packed() const {
-  return to_cbor({folder_, file_, folded_, bytes_of(counts_.packed())});
+  return to_cbor({folder_, file_, folded_, encode_bytes(counts_.packed())});
 }
 
 bool JournalHits::fold(const JournalHits& left) {
--- a/relay/outcomes.cpp
+++ b/relay/outcomes.cpp
@@ -86,10 +86,10 @@
   for (const Ended& one : ended) {
     try {
       const nlohmann::json said = fleet::from_cbor(one.part);
-      if (fleet::number_of(fleet::at(said, 0)) != log.number()) continue;  // of a log that is gone
+      if (fleet::decode_uint(fleet::at(said, 0)) != log.number()) continue;  // of a log that is gone
       feeds::Outcome outcome = feeds::outcome_in(fleet::at(said, 1));
       if (outcome.number > log.last()) out.emplace(outcome.number, std::move(outcome));
-    } catch (const fleet::Bad&) {
+    } catch (const fleet::DecodeError&) {
       log_event(LogLevel::kWarning, "feed_outcome_unreadable",
                 "feeds: an outcome in the journal cannot be read", {{"number", one.number}});
     }
--- a/tests/access_fleet.h
+++ b/tests/access_fleet.h
@@ -69,7 +69,7 @@
     tell_peers();
   }
   void send_all(Relay& r) {
-    for (auto& message : r.spread->take()) {
+    for (auto& message : r.spread->take_datagrams()) {
       longest = std::max(longest, message.bytes.size());
       sent += message.bytes.size();
       for (int copies = random() % 10 == 0 ? 2 : 1; copies > 0; --copies) {
@@ -85,7 +85,7 @@
     for (;;) {
       Time next = until;
       for (const auto& r : relays) {
-        if (r->up) next = std::min(next, std::max(now, r->spread->next()));
+        if (r->up) next = std::min(next, std::max(now, r->spread->next_wakeup()));
       }
       if (!flying.empty()) next = std::min(next, flying.begin()->first);
       now = next;
@@ -95,12 +95,12 @@
         flying.erase(flying.begin());
         Relay& to = *relays[index(f.to)];
         if (!to.up || group[index(f.from)] != group[index(f.to)]) continue;
-        to.spread->received(now, f.from, f.bytes);
+        to.spread->on_datagram(now, f.from, f.bytes);
         send_all(to);
       }
       for (const auto& r : relays) {
-        if (!r->up || r->spread->next() > now) continue;
-        r->spread->woke(now);
+        if (!r->up || r->spread->next_wakeup() > now) continue;
+        r->spread->on_timer(now);
         send_all(*r);
       }
     }
--- a/tests/access_spread_test.cpp
+++ b/tests/access_spread_test.cpp
@@ -191,7 +191,7 @@
   for (const auto& [origin, part] : again.parts(0)) EXPECT_GE(0 - part.fresh, 50 * kSecond);
   EXPECT_LE(f.relays[0]->spread->stored(f.now, 400).size(), 400u);
   Spread fresh("n0", 1);
-  for (size_t cut = 0; cut < stored.size(); ++cut) fresh.received(0, "n1", stored.substr(0, cut));
+  for (size_t cut = 0; cut < stored.size(); ++cut) fresh.on_datagram(0, "n1", stored.substr(0, cut));
   EXPECT_TRUE(fresh.parts(0).empty());
   EXPECT_EQ(fresh.dropped().unreadable, stored.size());
 }
--- a/tests/fleet/agreement_model_test.cpp
+++ b/tests/fleet/agreement_model_test.cpp
@@ -241,15 +241,15 @@
 
   void collect(int i) {
     AgreementGuest& g = *guests_[at(i)];
-    for (auto& d : g.take()) ways_[at(i)][at(d.to.back() - '0')].push_back(std::move(d.bytes));
+    for (auto& d : g.take_datagrams()) ways_[at(i)][at(d.to.back() - '0')].push_back(std::move(d.bytes));
     if (g.dead()) crash(i);
   }
 
   void ring(int i) {
     // What is due at once is due a microsecond later on a clock of another rate.
-    for (int n = 0; n < 4 && guests_[at(i)] && guests_[at(i)]->next() <= now_ + 2; ++n) {
-      now_ = std::max(now_, guests_[at(i)]->next());
-      guests_[at(i)]->woke(now_);
+    for (int n = 0; n < 4 && guests_[at(i)] && guests_[at(i)]->next_wakeup() <= now_ + 2; ++n) {
+      now_ = std::max(now_, guests_[at(i)]->next_wakeup());
+      guests_[at(i)]->on_timer(now_);
       collect(i);
     }
   }
@@ -257,7 +257,7 @@
   void deliver(int from, int to) {
     for (const std::string& bytes : std::exchange(ways_[at(from)][at(to)], {})) {
       if (!guests_[at(to)]) return;
-      guests_[at(to)]->received(now_, member_name(from), bytes);
+      guests_[at(to)]->on_datagram(now_, member_name(from), bytes);
       collect(to);
       ring(to);
     }
@@ -268,14 +268,14 @@
     for (;;) {
       int first = -1;
       for (int i = 0; i < kRelays; ++i) {
-        if (guests_[at(i)] && guests_[at(i)]->next() <= until &&
-            (first < 0 || guests_[at(i)]->next() < guests_[at(first)]->next())) {
+        if (guests_[at(i)] && guests_[at(i)]->next_wakeup() <= until &&
+            (first < 0 || guests_[at(i)]->next_wakeup() < guests_[at(first)]->next_wakeup())) {
           first = i;
         }
       }
       if (first < 0) break;
-      now_ = std::max(now_, guests_[at(first)]->next());
-      guests_[at(first)]->woke(now_);
+      now_ = std::max(now_, guests_[at(first)]->next_wakeup());
+      guests_[at(first)]->on_timer(now_);
       collect(first);
     }
     now_ = until;
--- a/tests/fleet/agreement_test.cpp
+++ b/tests/fleet/agreement_test.cpp
@@ -16,7 +16,8 @@
 using fleet::PolicyLog;
 
 TEST(Records, AreWholeOrNotThere) {
-  const std::string file = fleet::framed("one") + fleet::framed("") + fleet::framed(std::string(5000, 'x'));
+  const std::string file =
+      fleet::frame_record("one") + fleet::frame_record("") + fleet::frame_record(std::string(5000, 'x'));
   ASSERT_EQ(fleet::read_records(file).bodies.size(), 3u);
   for (size_t cut = 0; cut < file.size(); ++cut) {  // torn anywhere
     const auto r = fleet::read_records(file.substr(0, cut));
@@ -56,7 +57,7 @@
   EXPECT_EQ(other.state(), log.state());
   log.apply("no command");
   EXPECT_EQ(other.state(), log.state());
-  EXPECT_THROW(other.restore("no state"), fleet::Bad);
+  EXPECT_THROW(other.restore("no state"), fleet::DecodeError);
 }
 
 // A few relays, with their files, under the audit.
@@ -301,7 +302,7 @@
   run(kTerm);
   EXPECT_FALSE(audit.open(0, net->now()));
   net->crash(0);
-  folders[0].file = fleet::framed(fleet::to_cbor(nlohmann::json::array({"format", 99}))) + good;
+  folders[0].file = fleet::frame_record(fleet::to_cbor(nlohmann::json::array({"format", 99}))) + good;
   net->start(0);
   EXPECT_EQ(guest(0).agreement().broken(), "it was written by a newer version of the program");
   folders[0].file = good;
@@ -361,9 +362,9 @@
     std::string bytes = real[chance() % real.size()];
     for (int k = 0; k < 3; ++k) bytes[chance() % bytes.size()] = static_cast<char>(chance());
     if (chance() % 4 == 0) bytes.resize(chance() % bytes.size());
-    guest(victim).received(net->now(), member_name(lead), bytes);
+    guest(victim).on_datagram(net->now(), member_name(lead), bytes);
   }
-  (void)guest(victim).take();
+  (void)guest(victim).take_datagrams();
   EXPECT_EQ(guest(victim).agreement().text(), "need=1 c");
   EXPECT_EQ(view(victim).version, 2u);
 }
--- a/tests/fleet/budgets_test.cpp
+++ b/tests/fleet/budgets_test.cpp
@@ -23,12 +23,15 @@
   EXPECT_EQ(Parts::of(given).all, parts.all);
   EXPECT_EQ(Parts::of(given).heard, 9u);
   demands.words.push_back({1, 1, 1});
-  EXPECT_THROW(Demands::of(demands.packed()), Bad);
+  EXPECT_THROW(Demands::of(demands.packed()), DecodeError);
   const std::string small = Demands{7, 0.2, 3, 0, 0, 0, 1, {{1, 2, 3}}}.packed();
-  for (size_t cut = 0; cut < small.size(); ++cut) EXPECT_THROW(Demands::of(small.substr(0, cut)), Bad);
-  EXPECT_THROW(Demands::of(to_cbor({1, 0.2, 0, 0, 0, 0, 1, nlohmann::json::array()})), Bad);  // no names
-  EXPECT_THROW(Demands::of(to_cbor({1, 0.2, 3, 0, 0, 0, 1, {1, -2.0, 3}})), Bad);             // below 0
-  EXPECT_THROW(Parts::of(to_cbor({0, 1, 0, 0, nlohmann::json::array({1, 2.0})})), Bad);       // half a word
+  for (size_t cut = 0; cut < small.size(); ++cut)
+    EXPECT_THROW(Demands::of(small.substr(0, cut)), DecodeError);
+  EXPECT_THROW(Demands::of(to_cbor({1, 0.2, 0, 0, 0, 0, 1, nlohmann::json::array()})),
+               DecodeError);                                                               // no names
+  EXPECT_THROW(Demands::of(to_cbor({1, 0.2, 3, 0, 0, 0, 1, {1, -2.0, 3}})), DecodeError);  // below 0
+  EXPECT_THROW(Parts::of(to_cbor({0, 1, 0, 0, nlohmann::json::array({1, 2.0})})),
+               DecodeError);  // half a word
   for (const double rate : {1.0 / 3, 0.1, 123456.789, 1e-20}) {
     EXPECT_LE(rate_down(rate), rate);
     EXPECT_GT(rate_down(rate), rate * 0.9999);
--- a/tests/fleet/membership_model_test.cpp
+++ b/tests/fleet/membership_model_test.cpp
@@ -1,10 +1,11 @@
-// A model checker over the real state machine of the view: three members, every order in which datagrams
-// come, are lost or repeated and clocks ring, one crash and restart, to a stated depth.
+// Model checker for the membership protocol. It runs the real state machine of three members and explores
+// breadth first, to a given depth, every order in which datagrams are delivered, lost or duplicated and
+// timers fire, with one crash and restart.
 //
-// Invariant on each state reached: from there, with all datagrams delivered and nothing further going wrong,
-// all that are up agree on one view of all that are up, within the promised time twice over; so nobody that
-// is up and answers stays dead in all views. Chance inside the members is part of their state (a seeded
-// generator).
+// Invariant of every state reached: if from there on all datagrams are delivered and no further fault occurs,
+// all members that are up agree on one view that shows all of them alive, within twice the guaranteed time.
+// So no member that is up stays dead in every view. The members' random generators are seeded and part of
+// their state.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -22,7 +23,7 @@
 constexpr Time kPeriod = 500 * kMs;
 constexpr Time kTransit = 2 * kMs;
 
-struct Flying {
+struct InFlight {
   int from;
   int to;
   std::string bytes;
@@ -32,14 +33,14 @@
   Time now = 0;
   std::vector<std::optional<Membership>> members;
   std::vector<uint64_t> stored = std::vector<uint64_t>(kMembers, 0);
-  std::vector<Flying> flying;
+  std::vector<InFlight> in_flight;
   int crashes_left = 1;
   int losses_left = 2;
-  int repeats_left = 1;
+  int duplicates_left = 1;
 
   static std::string name(int i) { return "n" + std::to_string(i); }
 
-  void start(int i, bool planted) {
+  void start(int i, bool inject_fault) {
     Membership::Settings s;
     s.cluster = "model";
     for (int n = 0; n < kMembers; ++n) s.names.push_back(name(n));
@@ -50,7 +51,7 @@
     s.incarnation = stored[static_cast<size_t>(i)];
     auto& m = members[static_cast<size_t>(i)];
     m.emplace(std::move(s), static_cast<uint64_t>(i) + 1);
-    m->planted_never_refutes = planted;
+    m->inject_never_refutes = inject_fault;
     m->start(now);
     collect(i);
   }
@@ -58,39 +59,39 @@
   void collect(int i) {
     auto& m = *members[static_cast<size_t>(i)];
     stored[static_cast<size_t>(i)] = std::max(stored[static_cast<size_t>(i)], m.incarnation());
-    for (Datagram& d : m.take()) flying.push_back({i, d.to.back() - '0', std::move(d.bytes)});
-    (void)m.events();
+    for (Datagram& d : m.take_datagrams()) in_flight.push_back({i, d.to.back() - '0', std::move(d.bytes)});
+    (void)m.take_events();
   }
 
-  void deliver(size_t which, bool keep) {
-    const Flying one = flying[which];
-    if (!keep) flying.erase(flying.begin() + static_cast<std::ptrdiff_t>(which));
+  void deliver(size_t index, bool duplicate) {
+    const InFlight one = in_flight[index];
+    if (!duplicate) in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(index));
     auto& m = members[static_cast<size_t>(one.to)];
     if (!m) return;
-    m->received(now, name(one.from), one.bytes);
+    m->on_datagram(now, name(one.from), one.bytes);
     collect(one.to);
   }
 
-  std::optional<int> earliest() const {
+  std::optional<int> next_timer() const {
     std::optional<int> out;
     for (int i = 0; i < kMembers; ++i) {
       const auto& m = members[static_cast<size_t>(i)];
-      if (m && (!out || m->next() < members[static_cast<size_t>(*out)]->next())) out = i;
+      if (m && (!out || m->next_wakeup() < members[static_cast<size_t>(*out)]->next_wakeup())) out = i;
     }
     return out;
   }
 
-  void ring(int i) {
-    now = std::max(now, members[static_cast<size_t>(i)]->next());
-    members[static_cast<size_t>(i)]->woke(now);
+  void fire_timer(int i) {
+    now = std::max(now, members[static_cast<size_t>(i)]->next_wakeup());
+    members[static_cast<size_t>(i)]->on_timer(now);
     collect(i);
   }
 
   uint64_t fingerprint() const {
-    uint64_t out = static_cast<uint64_t>(crashes_left * 100 + losses_left * 10 + repeats_left);
+    uint64_t out = static_cast<uint64_t>(crashes_left * 100 + losses_left * 10 + duplicates_left);
     for (const auto& m : members) out = out * 1099511628211u ^ (m ? m->fingerprint(now) : 7);
     std::vector<uint64_t> hashes;
-    for (const Flying& f : flying)
+    for (const InFlight& f : in_flight)
       hashes.push_back(std::hash<std::string>()(f.bytes) + static_cast<uint64_t>(f.to));
     std::sort(hashes.begin(), hashes.end());
     for (const uint64_t h : hashes) out = out * 1099511628211u ^ h;
@@ -101,7 +102,7 @@
     size_t up = 0;
     for (const auto& m : members) up += m ? 1 : 0;
     for (const auto& m : members) {
-      if (m && m->live() != up) return false;
+      if (m && m->alive_count() != up) return false;
     }
     for (const auto& a : members) {
       for (const auto& b : members) {
@@ -111,31 +112,31 @@
     return true;
   }
 
-  // Everything comes through from here on.
-  bool settles() const {
+  // Whether the members agree within the bound if every datagram is delivered from now on.
+  bool converges() const {
     World w = *this;
     const Time until = now + 2 * static_cast<Time>((4 + 3 * std::log2(kMembers)) * kPeriod);
     while (w.now < until) {
-      while (!w.flying.empty()) {
+      while (!w.in_flight.empty()) {
         w.now += kTransit;
         w.deliver(0, false);
       }
-      const auto next = w.earliest();
+      const auto next = w.next_timer();
       if (!next) break;
-      w.ring(*next);
+      w.fire_timer(*next);
     }
     return w.agree();
   }
 };
 
-struct Checked {
+struct CheckResult {
   size_t states = 0;
   int depth = 0;
-  std::vector<std::string> trace;  // to the first state that breaks the invariant
+  std::vector<std::string> trace;  // actions that lead to the first state that violates the invariant
 };
 
-// Breadth first, so that the first trace found is a shortest one.
-Checked check(int depth, size_t most_states, bool planted, bool one_down) {
+// Breadth-first search, so that the first trace found is a shortest one.
+CheckResult check(int depth, size_t max_states, bool inject_fault, bool one_down) {
   struct Node {
     World world;
     int depth;
@@ -143,64 +144,64 @@
   };
   World first;
   first.members.resize(kMembers);
-  for (int i = 0; i < kMembers; ++i) first.start(i, planted);
-  // They know each other before it begins.
+  for (int i = 0; i < kMembers; ++i) first.start(i, inject_fault);
+  // Lets the members learn of each other first.
   for (int n = 0; n < 60; ++n) {
-    while (!first.flying.empty()) first.deliver(0, false);
-    first.ring(*first.earliest());
+    while (!first.in_flight.empty()) first.deliver(0, false);
+    first.fire_timer(*first.next_timer());
   }
   if (one_down) {
     first.members[2].reset();
     for (int n = 0; n < 200; ++n) {
-      while (!first.flying.empty()) first.deliver(0, false);
-      first.ring(*first.earliest());
+      while (!first.in_flight.empty()) first.deliver(0, false);
+      first.fire_timer(*first.next_timer());
     }
-    first.crashes_left = first.repeats_left = 0;
+    first.crashes_left = first.duplicates_left = 0;
   }
-  Checked out;
-  std::deque<Node> open;
+  CheckResult out;
+  std::deque<Node> queue;
   std::unordered_set<uint64_t> seen;
-  const auto reach = [&](World world, const Node& from, std::string how) {
+  const auto visit = [&](World world, const Node& from, std::string action) {
     if (!seen.insert(world.fingerprint()).second) return true;
     std::vector<std::string> trace = from.trace;
-    trace.push_back(std::move(how));
+    trace.push_back(std::move(action));
     ++out.states;
     out.depth = from.depth + 1;
-    if (!world.settles()) {
+    if (!world.converges()) {
       out.trace = std::move(trace);
       return false;
     }
-    if (from.depth + 1 < depth) open.push_back({std::move(world), from.depth + 1, std::move(trace)});
+    if (from.depth + 1 < depth) queue.push_back({std::move(world), from.depth + 1, std::move(trace)});
     return true;
   };
-  open.push_back({std::move(first), 0, {}});
-  while (!open.empty() && out.states < most_states) {
-    const Node node = std::move(open.front());
-    open.pop_front();
-    const auto move = [&](const std::string& how, auto act) {
+  queue.push_back({std::move(first), 0, {}});
+  while (!queue.empty() && out.states < max_states) {
+    const Node node = std::move(queue.front());
+    queue.pop_front();
+    const auto move = [&](const std::string& action, auto apply) {
       World next = node.world;
-      act(next);
-      return reach(std::move(next), node, how);
+      apply(next);
+      return visit(std::move(next), node, action);
     };
-    for (size_t f = 0; f < node.world.flying.size(); ++f) {
-      const Flying& one = node.world.flying[f];
+    for (size_t f = 0; f < node.world.in_flight.size(); ++f) {
+      const InFlight& one = node.world.in_flight[f];
       const std::string what = World::name(one.from) + " to " + World::name(one.to);
       if (!move("deliver " + what, [&](World& w) { w.deliver(f, false); })) return out;
       if (node.world.losses_left > 0 && !move("lose " + what, [&](World& w) {
             --w.losses_left;
-            w.flying.erase(w.flying.begin() + static_cast<std::ptrdiff_t>(f));
+            w.in_flight.erase(w.in_flight.begin() + static_cast<std::ptrdiff_t>(f));
           })) {
         return out;
       }
-      if (node.world.repeats_left > 0 && !move("repeat " + what, [&](World& w) {
-            --w.repeats_left;
+      if (node.world.duplicates_left > 0 && !move("duplicate " + what, [&](World& w) {
+            --w.duplicates_left;
             w.deliver(f, true);
           })) {
         return out;
       }
     }
-    if (const auto next = node.world.earliest()) {
-      if (!move("ring " + World::name(*next), [&](World& w) { w.ring(*next); })) return out;
+    if (const auto next = node.world.next_timer()) {
+      if (!move("timer " + World::name(*next), [&](World& w) { w.fire_timer(*next); })) return out;
     }
     for (int i = 0; i < kMembers; ++i) {
       if (node.world.members[static_cast<size_t>(i)]) {
@@ -210,7 +211,7 @@
             })) {
           return out;
         }
-      } else if (!one_down && !move("start " + World::name(i), [&](World& w) { w.start(i, planted); })) {
+      } else if (!one_down && !move("start " + World::name(i), [&](World& w) { w.start(i, inject_fault); })) {
         return out;
       }
     }
@@ -218,26 +219,26 @@
   return out;
 }
 
-// MODEL_STATES in the environment asks for more than CI has time for.
-size_t states(size_t usual) {
-  const char* wanted = std::getenv("MODEL_STATES");
-  return wanted == nullptr ? usual : std::strtoul(wanted, nullptr, 10);
+// Number of states to visit; the environment variable MODEL_STATES overrides the default that fits into CI.
+size_t states(size_t default_count) {
+  const char* requested = std::getenv("MODEL_STATES");
+  return requested == nullptr ? default_count : std::strtoul(requested, nullptr, 10);
 }
 
-TEST(MembershipModel, FromEachStateReachedQuietDeliverySettles) {
-  const Checked c = check(30, states(4000), false, false);
+TEST(MembershipModel, EveryReachableStateConvergesOnceFaultsEnd) {
+  const CheckResult c = check(30, states(4000), false, false);
   std::string trace;
   for (const std::string& step : c.trace) trace += step + "\n";
   EXPECT_EQ(trace, "");
   std::printf("%zu states, depth %d\n", c.states, c.depth);
   EXPECT_GE(c.states, 4000u);
-  const Checked two = check(30, states(2000), false, true);
+  const CheckResult two = check(30, states(2000), false, true);
   EXPECT_TRUE(two.trace.empty());
   std::printf("one of three down: %zu states, depth %d\n", two.states, two.depth);
 }
 
-TEST(MembershipModel, ARefutationThatIsNotSentIsFound) {
-  const Checked c = check(30, 5000, true, true);
+TEST(MembershipModel, FindsTheInjectedFaultOfMissingRefutations) {
+  const CheckResult c = check(30, 5000, true, true);
   ASSERT_FALSE(c.trace.empty()) << c.states << " states, depth " << c.depth;
   std::printf("found after %zu states:\n", c.states);
   for (const std::string& step : c.trace) std::printf("  %s\n", step.c_str());
