--- a/fleet/agreement.cpp
+++ b/fleet/agreement.cpp
@@ -21,7 +21,7 @@
     : settings_(std::move(settings)), rng_(seed, 23) {
   try {
     load(file);
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     failure_ = "a record is malformed";
   }
   incarnation_ = random_id();
@@ -106,12 +106,13 @@
   if (!failure_.empty()) return;
   try {
     const json m = from_cbor(bytes);
-    want(number_of(at(m, 0)) == kAgreementProtocol && text_of(at(m, 1), kMostName) == settings_.cluster);
-    const std::string kind = text_of(at(m, 2), kMostName);
-    const uint64_t bootstrap_id = number_of(at(m, 3));
+    require(decode_uint(at(m, 0)) == kAgreementProtocol &&
+            decode_text(at(m, 1), kMaxNameSize) == settings_.cluster);
+    const std::string kind = decode_text(at(m, 2), kMaxNameSize);
+    const uint64_t bootstrap_id = decode_uint(at(m, 3));
     const json& body = at(m, 4);
     if (kind == "fresh") {
-      const uint64_t folder_id = number_of(body);
+      const uint64_t folder_id = decode_uint(body);
       if (bootstrap_ && !bootstrap_->voters.empty()) {
         send(from, "founded", bootstrap_->to_record());
       } else if (!bootstrap_) {
@@ -127,7 +128,7 @@
     } else if (kind == "renew") {
       LeaseRenewal r = LeaseRenewal::decode(body);
       if (bootstrap_id != 0 && bootstrap_ && bootstrap_id != bootstrap_->id) return;
-      want(r.via.empty() ? r.origin == from : r.via == from);
+      require(r.via.empty() ? r.origin == from : r.via == from);
       if (std::ranges::find(settings_.relays, r.origin) == settings_.relays.end()) return;
       if (is_leader()) {
         const LeaseGrant g = leadership_->handle_renewal(now, r);
@@ -148,14 +149,14 @@
         on_grant(now, g);
       }
     } else if (kind == "elsewhere") {
-      const std::string leader = text_of(body, kMostName);
+      const std::string leader = decode_text(body, kMaxNameSize);
       const bool known = leader == next_hop_;
       if (last_received_ < 0 || now - last_received_ > 2 * settings_.renewal_period) next_hop_ = leader;
       if (!known && leader != settings_.name) send(leader, "renew", make_renewal(now).encode());
     } else {
-      throw Bad{};
+      throw DecodeError{};
     }
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     ++malformed_messages_;
   }
   if (leadership_) leadership_->advance(now);
--- a/fleet/agreement_file.cpp
+++ b/fleet/agreement_file.cpp
@@ -14,33 +14,34 @@
 void Agreement::load(std::string_view file) {
   const Records records = read_records(file);
   if (records.end == Records::End::kCorrupt) {
-    failure_ = "the record at byte " + std::to_string(records.whole) + " fails its checksum";
+    failure_ = "the record at byte " + std::to_string(records.valid_bytes) + " fails its checksum";
     return;
   }
   torn_ = records.end == Records::End::kTorn;
   for (const std::string& body : records.bodies) {
     const json r = from_cbor(body);
-    const std::string tag = text_of(at(r, 0), kMostName);
+    const std::string tag = decode_text(at(r, 0), kMaxNameSize);
     if (tag == "format") {
-      if (number_of(at(r, 1)) <= kFileFormat) continue;
+      if (decode_uint(at(r, 1)) <= kFileFormat) continue;
       failure_ = "it was written by a newer version of the program";
       return;
     }
     if (tag == "folder") {
-      folder_id_ = number_of(at(r, 1));
+      folder_id_ = decode_uint(at(r, 1));
     } else if (tag == "founding") {
       bootstrap_ = Bootstrap::from_record(r);
     } else if (tag == "voters") {
       known_voters_.clear();
-      for (const json& name : at(r, 1)) known_voters_.insert(text_of(name, kMostName));
+      for (const json& name : at(r, 1)) known_voters_.insert(decode_text(name, kMaxNameSize));
     } else if (tag == "policy") {
-      policy_ = {number_of(at(r, 1)), text_of(at(r, 2), kMaxIdBytes), text_of(at(r, 3), kMaxPolicyBytes)};
+      policy_ = {decode_uint(at(r, 1)), decode_text(at(r, 2), kMaxIdBytes),
+                 decode_text(at(r, 3), kMaxPolicyBytes)};
     } else if (tag == "yes") {
-      accepted_change_id_ = text_of(at(r, 1), kMaxIdBytes);
+      accepted_change_id_ = decode_text(at(r, 1), kMaxIdBytes);
     } else if (tag == "lease") {
-      restored_lease_ = static_cast<Time>(number_of(at(r, 1)));
+      restored_lease_ = static_cast<Time>(decode_uint(at(r, 1)));
     } else {
-      want(stored_raft_.apply_record(r));
+      require(stored_raft_.apply_record(r));
     }
   }
 }
@@ -50,9 +51,9 @@
   try {
     for (const std::string& body : read_records(file).bodies) {
       const json r = from_cbor(body);
-      if (text_of(at(r, 0), kMostName) == "policy") out = text_of(at(r, 3), kMaxPolicyBytes);
+      if (decode_text(at(r, 0), kMaxNameSize) == "policy") out = decode_text(at(r, 3), kMaxPolicyBytes);
     }
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
   }
   return out;
 }
@@ -66,12 +67,12 @@
   const auto raft_records = raft_ ? raft_->records() : stored_raft_.records();
   records.insert(records.end(), raft_records.begin(), raft_records.end());
   std::string out;
-  for (const json& r : records) out += framed(to_cbor(r));
+  for (const json& r : records) out += frame_record(to_cbor(r));
   return out;
 }
 
 void Agreement::append_record(json record) {
-  std::string bytes = framed(to_cbor(record));
+  std::string bytes = frame_record(to_cbor(record));
   appended_bytes_ += bytes.size();
   outputs_.push_back(Write{std::move(bytes), false});
 }
--- a/fleet/agreement_messages.cpp
+++ b/fleet/agreement_messages.cpp
@@ -10,12 +10,12 @@
  public:
   explicit Fields(const json& list) : list_(list) {}
   const json& any() { return at(list_, next_++); }
-  std::string text(size_t max_bytes) { return text_of(any(), max_bytes); }
-  uint64_t number() { return number_of(any()); }
-  std::string piggyback() { return next_ < list_.size() ? bytes_in(any()) : std::string(); }
+  std::string text(size_t max_bytes) { return decode_text(any(), max_bytes); }
+  uint64_t number() { return decode_uint(any()); }
+  std::string piggyback() { return next_ < list_.size() ? decode_bytes(any()) : std::string(); }
   bool flag() {
     const json& value = any();
-    want(value.is_boolean());
+    require(value.is_boolean());
     return value.get<bool>();
   }
 
@@ -33,7 +33,7 @@
 Change decode_change(Fields in, bool& has_text) {
   Change out;
   out.id = in.text(kMaxIdBytes);
-  out.proposed_by = in.text(kMostName);
+  out.proposed_by = in.text(kMaxNameSize);
   out.base_version = in.number();
   out.wall_ms = in.number();
   out.text = in.text(kMaxPolicyBytes);
@@ -50,9 +50,9 @@
 }
 
 Bootstrap Bootstrap::from_record(const json& record) {
-  Bootstrap out{number_of(at(record, 1)), {}};
+  Bootstrap out{decode_uint(at(record, 1)), {}};
   for (const json& v : at(record, 2)) {
-    out.voters.emplace_back(text_of(at(v, 0), kMostName), number_of(at(v, 1)));
+    out.voters.emplace_back(decode_text(at(v, 0), kMaxNameSize), decode_uint(at(v, 1)));
   }
   return out;
 }
@@ -75,19 +75,19 @@
               leaving,
               ended_count,
               request};
-  if (!piggyback.empty()) out.push_back(bytes_of(piggyback));
+  if (!piggyback.empty()) out.push_back(encode_bytes(piggyback));
   return out;
 }
 
 LeaseRenewal LeaseRenewal::decode(const json& from) {
   Fields in(from);
   LeaseRenewal out;
-  out.origin = in.text(kMostName);
-  out.via = in.text(kMostName);
+  out.origin = in.text(kMaxNameSize);
+  out.via = in.text(kMaxNameSize);
   out.incarnation = in.number();
   out.folder_id = in.number();
   out.number = in.number();
-  out.program_version = in.text(kMostName);
+  out.program_version = in.text(kMaxNameSize);
   out.raft_term = in.number();
   out.echo_term = in.number();
   out.echo_timestamp = in.number();
@@ -118,37 +118,37 @@
               c,           pending_change_id,
               ended_count, ends,
               voters,      list_of(waiting_for)};
-  if (!piggyback.empty()) out.push_back(bytes_of(piggyback));
+  if (!piggyback.empty()) out.push_back(encode_bytes(piggyback));
   return out;
 }
 
 LeaseGrant LeaseGrant::decode(const json& from) {
   Fields in(from);
   LeaseGrant out;
-  out.leader = in.text(kMostName);
-  out.via = in.text(kMostName);
-  out.to = in.text(kMostName);
+  out.leader = in.text(kMaxNameSize);
+  out.via = in.text(kMaxNameSize);
+  out.to = in.text(kMaxNameSize);
   out.incarnation = in.number();
   out.number = in.number();
   out.leader_term = in.number();
   out.timestamp = in.number();
   const uint64_t duration = in.number();
-  want(duration <= 3600u * kSecond);
+  require(duration <= 3600u * kSecond);
   out.lease_duration = static_cast<Time>(duration);
   out.version = in.number();
   out.digest = in.number();
   out.id = in.text(kMaxIdBytes);
-  if (const json& text = in.any(); !text.is_null()) out.text = text_of(text, kMaxPolicyBytes);
+  if (const json& text = in.any(); !text.is_null()) out.text = decode_text(text, kMaxPolicyBytes);
   if (const json& c = in.any(); !c.is_null()) out.change = decode_change(Fields(c), out.has_change_text);
   out.pending_change_id = in.text(kMaxIdBytes);
   out.ended_count = in.number();
   for (const json& o : in.any()) out.outcomes.push_back(decode_outcome(o));
-  for (const json& v : in.any()) out.voters.insert(text_of(v, kMostName));
+  for (const json& v : in.any()) out.voters.insert(decode_text(v, kMaxNameSize));
   for (const json& w : in.any()) {
-    out.waiting_for.emplace_back(text_of(at(w, 0), kMostName), text_of(at(w, 1), kMaxReasonBytes));
+    out.waiting_for.emplace_back(decode_text(at(w, 0), kMaxNameSize), decode_text(at(w, 1), kMaxReasonBytes));
   }
   out.piggyback = in.piggyback();
-  want(out.outcomes.size() <= PolicyLog::kMaxOutcomes && out.waiting_for.size() <= kMaxWaitingFor + 1);
+  require(out.outcomes.size() <= PolicyLog::kMaxOutcomes && out.waiting_for.size() <= kMaxWaitingFor + 1);
   return out;
 }
 
--- a/fleet/agreement_relay.cpp
+++ b/fleet/agreement_relay.cpp
@@ -29,7 +29,7 @@
   r.incarnation = incarnation_;
   r.folder_id = folder_id_;
   r.number = ++renewal_number_;
-  r.program_version = truncated(settings_.program_version, kMostName);
+  r.program_version = truncated(settings_.program_version, kMaxNameSize);
   r.raft_term = raft_ ? raft_->term() : 0;
   r.echo_term = leader_term_;
   r.echo_timestamp = leader_timestamp_;
--- a/fleet/agreement_settings.h
+++ b/fleet/agreement_settings.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "lease_piggyback.h"
-#include "machine.h"
 #include "policy_log.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/budget_piggyback.cpp
+++ b/fleet/budget_piggyback.cpp
@@ -10,7 +10,7 @@
     const auto table =
         allocator_.answer(now, {renewal.relay, renewal.expires_at, renewal.acked_send_time}, report);
     return table ? table->encode() : "";
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     ++malformed_;
     return "";
   }
@@ -19,7 +19,7 @@
 bool BudgetPiggyback::on_grant(Time now, uint64_t leader_term, std::string_view payload, Time lease_end) {
   try {
     return holder_.apply_table(now, leader_term, ShareTable::decode(payload), lease_end);
-  } catch (const Bad&) {
+  } catch (const DecodeError&) {
     ++malformed_;
     return false;
   }
--- a/fleet/budget_wire.cpp
+++ b/fleet/budget_wire.cpp
@@ -11,25 +11,25 @@
 using nlohmann::json;
 
 double rate_of(const json& value) {
-  want(value.is_number());
+  require(value.is_number());
   const double rate = value.get<double>();
-  want(std::isfinite(rate) && rate >= 0 && rate <= kMaxCallsPerSecond);
+  require(std::isfinite(rate) && rate >= 0 && rate <= kMaxCallsPerSecond);
   return rate;
 }
 
 json parse(std::string_view bytes) {
-  want(bytes.size() <= kMaxBudgetMessageBytes);
+  require(bytes.size() <= kMaxBudgetMessageBytes);
   return from_cbor(bytes);
 }
 
 // A flat list of three fields for each entry, which is smaller than nested lists.
 template <typename Entry>
 std::vector<Entry> entries_of(const json& list) {
-  want(list.is_array() && list.size() % 3 == 0 && list.size() / 3 <= kMaxBudgetsPerMessage);
+  require(list.is_array() && list.size() % 3 == 0 && list.size() / 3 <= kMaxBudgetsPerMessage);
   std::vector<Entry> out;
   out.reserve(list.size() / 3);
   for (size_t i = 0; i < list.size(); i += 3) {
-    out.push_back({number_of(list[i]), rate_of(list[i + 1]), rate_of(list[i + 2])});
+    out.push_back({decode_uint(list[i]), rate_of(list[i + 1]), rate_of(list[i + 2])});
   }
   return out;
 }
@@ -59,10 +59,10 @@
 
 DemandReport DemandReport::decode(std::string_view bytes) {
   const json d = parse(bytes);
-  DemandReport out{number_of(at(d, 0)), rate_of(at(d, 1)),           number_of(at(d, 2)),
-                   number_of(at(d, 3)), number_of(at(d, 4)),         number_of(at(d, 5)),
-                   number_of(at(d, 6)), entries_of<Demand>(at(d, 7))};
-  want(out.floor_share <= 1 && out.relays > 0 && out.base_version <= out.version);
+  DemandReport out{decode_uint(at(d, 0)), rate_of(at(d, 1)),           decode_uint(at(d, 2)),
+                   decode_uint(at(d, 3)), decode_uint(at(d, 4)),       decode_uint(at(d, 5)),
+                   decode_uint(at(d, 6)), entries_of<Demand>(at(d, 7))};
+  require(out.floor_share <= 1 && out.relays > 0 && out.base_version <= out.version);
   return out;
 }
 
@@ -78,7 +78,7 @@
 
 ShareTable ShareTable::decode(std::string_view bytes) {
   const json p = parse(bytes);
-  return {number_of(at(p, 0)), number_of(at(p, 1)), number_of(at(p, 2)) != 0, number_of(at(p, 3)),
+  return {decode_uint(at(p, 0)), decode_uint(at(p, 1)), decode_uint(at(p, 2)) != 0, decode_uint(at(p, 3)),
           entries_of<Share>(at(p, 4))};
 }
 
--- a/fleet/clock_rate_check.h
+++ b/fleet/clock_rate_check.h
@@ -2,7 +2,7 @@
 // differ by more than 1 in kInverseDriftBound, a lease may last longer here than the leader accounts for.
 #pragma once
 
-#include "machine.h"
+#include "state_machine.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/consensus.cpp
+++ b/fleet/consensus.cpp
@@ -103,7 +103,7 @@
 void Consensus::on_message(Time now, const json& from) {
   now_ = std::max(now_, now);
   if (!failure_.empty() || !started_) return;
-  if (number_of(at(from, 3)) != settings_.id) return;  // to an earlier server of this name
+  if (decode_uint(at(from, 3)) != settings_.id) return;  // to an earlier server of this name
   std::string address;
   raft_message m = decode_message(from, address);
   recv_(&io_, &m);
--- a/fleet/leadership.cpp
+++ b/fleet/leadership.cpp
@@ -1,10 +1,11 @@
 // The start of a leader term, and the leases that the leader grants.
+#include "leadership.h"
+
 #include <xxhash.h>
 
 #include <algorithm>
 
 #include "agreement_internal.h"
-#include "leadership.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/leadership_change.cpp
+++ b/fleet/leadership_change.cpp
@@ -12,21 +12,22 @@
   // relay already (resolve_request).
   if (!r.request.is_array() || r.echo_term != leader_term_ || !pending_change_id_.empty()) return;
   if (now - static_cast<Time>(r.echo_timestamp) > 2 * settings_.lease_duration) return;
-  const std::string kind = text_of(at(r.request, 0), kMostName);
+  const std::string kind = decode_text(at(r.request, 0), kMaxNameSize);
   if (kind == "propose") {
-    const Change c{text_of(at(r.request, 1), kMaxIdBytes), text_of(at(r.request, 2), kMostName),
-                   number_of(at(r.request, 3)), text_of(at(r.request, 4), kMaxPolicyBytes),
-                   number_of(at(r.request, 5))};
+    const Change c{decode_text(at(r.request, 1), kMaxIdBytes), decode_text(at(r.request, 2), kMaxNameSize),
+                   decode_uint(at(r.request, 3)), decode_text(at(r.request, 4), kMaxPolicyBytes),
+                   decode_uint(at(r.request, 5))};
     if (!policy_log_.knows(c.id) && raft_.propose(PolicyLog::propose(c)))
       pending_change_id_ = policy_log_.knows(c.id) ? "" : c.id;
   } else if (kind == "abort") {
-    const std::string id = text_of(at(r.request, 1), kMaxIdBytes);
+    const std::string id = decode_text(at(r.request, 1), kMaxIdBytes);
     const bool under_way = policy_log_.change() && policy_log_.change()->id == id;
     if (!under_way && policy_log_.knows(id)) return;
-    raft_.propose(PolicyLog::abort(id, text_of(at(r.request, 2), kMostName), "an operator aborted it"));
+    raft_.propose(
+        PolicyLog::abort(id, decode_text(at(r.request, 2), kMaxNameSize), "an operator aborted it"));
   } else if (kind == "replace") {
-    const std::string old_voter = text_of(at(r.request, 1), kMostName),
-                      new_voter = text_of(at(r.request, 2), kMostName);
+    const std::string old_voter = decode_text(at(r.request, 1), kMaxNameSize),
+                      new_voter = decode_text(at(r.request, 2), kMaxNameSize);
     if (policy_log_.voters().contains(old_voter))
       raft_.propose(PolicyLog::replace_voter(old_voter, new_voter));
   }
--- a/fleet/policy_log.cpp
+++ b/fleet/policy_log.cpp
@@ -15,10 +15,14 @@
 }
 
 Outcome decode_outcome(const json& from) {
-  const uint64_t result = number_of(at(from, 1));
-  want(result <= 2);
-  return {text_of(at(from, 0), kMaxIdBytes), static_cast<Outcome::Result>(result),  number_of(at(from, 2)),
-          text_of(at(from, 3), kMaxIdBytes), text_of(at(from, 4), kMaxReasonBytes), number_of(at(from, 5))};
+  const uint64_t result = decode_uint(at(from, 1));
+  require(result <= 2);
+  return {decode_text(at(from, 0), kMaxIdBytes),
+          static_cast<Outcome::Result>(result),
+          decode_uint(at(from, 2)),
+          decode_text(at(from, 3), kMaxIdBytes),
+          decode_text(at(from, 4), kMaxReasonBytes),
+          decode_uint(at(from, 5))};
 }
 
 namespace {
@@ -26,8 +30,8 @@
 json encode(const Change& c) { return {c.id, c.proposed_by, c.base_version, c.text, c.wall_ms}; }
 
 Change decode_change(const json& from) {
-  return {text_of(at(from, 0), kMaxIdBytes), text_of(at(from, 1), kMaxIdBytes), number_of(at(from, 2)),
-          text_of(at(from, 3), kMaxPolicyBytes), number_of(at(from, 4))};
+  return {decode_text(at(from, 0), kMaxIdBytes), decode_text(at(from, 1), kMaxIdBytes),
+          decode_uint(at(from, 2)), decode_text(at(from, 3), kMaxPolicyBytes), decode_uint(at(from, 4))};
 }
 
 std::string command(json fields) { return to_cbor(fields); }
@@ -62,14 +66,14 @@
 void PolicyLog::apply(std::string_view bytes) try {
   using Result = Outcome::Result;
   const json c = from_cbor(bytes);
-  const std::string tag = text_of(at(c, 0), kMaxIdBytes);
+  const std::string tag = decode_text(at(c, 0), kMaxIdBytes);
   if (tag == "reign") {
-    leader_term_ = number_of(at(c, 1));
+    leader_term_ = decode_uint(at(c, 1));
   } else if (tag == "first") {
     if (version_ > 0) return;
     std::set<std::string> voters;
-    for (const json& name : at(c, 2)) voters.insert(text_of(name, kMaxIdBytes));
-    texts_ = {text_of(at(c, 1), kMaxPolicyBytes)};
+    for (const json& name : at(c, 2)) voters.insert(decode_text(name, kMaxIdBytes));
+    texts_ = {decode_text(at(c, 1), kMaxPolicyBytes)};
     voters_ = std::move(voters);
     version_ = 1;
     id_ = "first";
@@ -91,26 +95,28 @@
       record_outcome({next.id, Result::kRefused, 0, next.proposed_by, refusal, next.wall_ms});
     }
   } else if (tag == "decide") {
-    if (!change_ || change_->id != text_of(at(c, 1), kMaxIdBytes)) return;
+    if (!change_ || change_->id != decode_text(at(c, 1), kMaxIdBytes)) return;
     texts_.push_back(change_->text);
     if (texts_.size() > kMaxTexts) texts_.pop_front();
     id_ = change_->id;
     record_outcome({change_->id, Result::kInForce, ++version_, change_->proposed_by, "", change_->wall_ms});
     change_.reset();
   } else if (tag == "abort") {
-    const std::string id = text_of(at(c, 1), kMaxIdBytes);
-    const std::string relay = text_of(at(c, 2), kMaxIdBytes), reason = text_of(at(c, 3), kMaxReasonBytes);
+    const std::string id = decode_text(at(c, 1), kMaxIdBytes);
+    const std::string relay = decode_text(at(c, 2), kMaxIdBytes),
+                      reason = decode_text(at(c, 3), kMaxReasonBytes);
     const bool under_way = change_ && change_->id == id;
     if (!under_way && knows(id)) return;
     record_outcome({id, Result::kAborted, 0, relay, reason, under_way ? change_->wall_ms : 0});
     if (under_way) change_.reset();
   } else if (tag == "replace") {
-    const std::string old_voter = text_of(at(c, 1), kMaxIdBytes), new_voter = text_of(at(c, 2), kMaxIdBytes);
+    const std::string old_voter = decode_text(at(c, 1), kMaxIdBytes),
+                      new_voter = decode_text(at(c, 2), kMaxIdBytes);
     if (!voters_.contains(old_voter) || voters_.contains(new_voter)) return;
     voters_.erase(old_voter);
     voters_.insert(new_voter);
   }
-} catch (const Bad&) {
+} catch (const DecodeError&) {
 }
 
 std::string PolicyLog::state() const {
@@ -123,16 +129,16 @@
 void PolicyLog::restore(std::string_view bytes) {
   const json s = from_cbor(bytes);
   PolicyLog out;
-  out.version_ = number_of(at(s, 0));
-  out.id_ = text_of(at(s, 1), kMaxIdBytes);
-  for (const json& text : at(s, 2)) out.texts_.push_back(text_of(text, kMaxPolicyBytes));
+  out.version_ = decode_uint(at(s, 0));
+  out.id_ = decode_text(at(s, 1), kMaxIdBytes);
+  for (const json& text : at(s, 2)) out.texts_.push_back(decode_text(text, kMaxPolicyBytes));
   if (!at(s, 3).is_null()) out.change_ = decode_change(at(s, 3));
   for (const json& o : at(s, 4)) out.outcomes_.push_back(decode_outcome(o));
-  out.ended_count_ = number_of(at(s, 5));
-  out.leader_term_ = number_of(at(s, 6));
-  for (const json& name : at(s, 7)) out.voters_.insert(text_of(name, kMaxIdBytes));
-  want(out.outcomes_.size() <= kMaxOutcomes && out.texts_.size() <= kMaxTexts &&
-       (out.version_ == 0) == out.texts_.empty());
+  out.ended_count_ = decode_uint(at(s, 5));
+  out.leader_term_ = decode_uint(at(s, 6));
+  for (const json& name : at(s, 7)) out.voters_.insert(decode_text(name, kMaxIdBytes));
+  require(out.outcomes_.size() <= kMaxOutcomes && out.texts_.size() <= kMaxTexts &&
+          (out.version_ == 0) == out.texts_.empty());
   *this = std::move(out);
 }
 
--- a/fleet/policy_log.h
+++ b/fleet/policy_log.h
@@ -13,7 +13,7 @@
 #include <set>
 #include <string>
 
-#include "reading.h"
+#include "decoding.h"
 
 namespace umberhoist::fleet {
 
--- a/fleet/raft_adapter.cpp
+++ b/fleet/raft_adapter.cpp
@@ -125,7 +125,7 @@
   static int restore(raft_fsm* fsm, raft_buffer* from) {
     try {
       self_of(fsm).host_.restore(view_of(*from));
-    } catch (const Bad&) {
+    } catch (const DecodeError&) {
       return RAFT_CORRUPT;
     }
     raft_free(from->base);
--- a/lab/agreement_guest.cpp
+++ b/lab/agreement_guest.cpp
@@ -35,19 +35,19 @@
   carry_out(now);
 }
 
-void AgreementGuest::received(Time now, const std::string& from, std::string_view bytes) {
+void AgreementGuest::on_datagram(Time now, const std::string& from, std::string_view bytes) {
   if (dead_) return;
   agreement_.on_datagram(clock_.local(now), from, bytes);
   carry_out(now);
 }
 
-void AgreementGuest::woke(Time now) {
+void AgreementGuest::on_timer(Time now) {
   if (dead_) return;
   agreement_.on_timer(clock_.local(now));
   carry_out(now);
 }
 
-Time AgreementGuest::next() const {
+Time AgreementGuest::next_wakeup() const {
   const Time at = dead_ ? fleet::kNever : agreement_.next_wakeup();
   return at == fleet::kNever ? at : clock_.real(at) + 1;
 }
--- a/relay/budget_link.cpp
+++ b/relay/budget_link.cpp
@@ -1,9 +1,10 @@
+#include "budget_link.h"
+
 #include <algorithm>
 #include <cmath>
 #include <random>
 
 #include "budget.h"
-#include "budget_link.h"
 #include "log.h"
 
 namespace firspool::relay {
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,7 +1,8 @@
 // The step of the module: applies the events to its components (the headers in this folder), then each
 // decides once.
-#include "dispatch.h"
 #include "firspool/policy.h"
+
+#include "dispatch.h"
 #include "members.h"
 #include "outages.h"
 #include "refusals.h"
--- a/tests/budget_link_test.cpp
+++ b/tests/budget_link_test.cpp
@@ -1,5 +1,7 @@
 // Connection of the relay to the fleet's budgets: its configuration section, and the shares that the decision
 // module receives.
+#include "budget_link.h"
+
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -7,7 +9,6 @@
 #include <nlohmann/json.hpp>
 
 #include "budget.h"
-#include "budget_link.h"
 
 namespace firspool::relay {
 namespace {
--- a/tests/fleet/budgets_test.cpp
+++ b/tests/fleet/budgets_test.cpp
@@ -23,14 +23,14 @@
   EXPECT_EQ(ShareTable::decode(encoded_table).shares, table.shares);
   EXPECT_EQ(ShareTable::decode(encoded_table).acked_demand_version, 9u);
   report.updates.push_back({1, 1, 1});
-  EXPECT_THROW(DemandReport::decode(report.encode()), Bad);
+  EXPECT_THROW(DemandReport::decode(report.encode()), DecodeError);
   const std::string small = DemandReport{7, 0.2, 3, 0, 0, 0, 1, {{1, 2, 3}}}.encode();
   for (size_t cut = 0; cut < small.size(); ++cut)
-    EXPECT_THROW(DemandReport::decode(small.substr(0, cut)), Bad);
+    EXPECT_THROW(DemandReport::decode(small.substr(0, cut)), DecodeError);
   // No relays, a negative rate, and an incomplete entry.
-  EXPECT_THROW(DemandReport::decode(to_cbor({1, 0.2, 0, 0, 0, 0, 1, nlohmann::json::array()})), Bad);
-  EXPECT_THROW(DemandReport::decode(to_cbor({1, 0.2, 3, 0, 0, 0, 1, {1, -2.0, 3}})), Bad);
-  EXPECT_THROW(ShareTable::decode(to_cbor({0, 1, 0, 0, nlohmann::json::array({1, 2.0})})), Bad);
+  EXPECT_THROW(DemandReport::decode(to_cbor({1, 0.2, 0, 0, 0, 0, 1, nlohmann::json::array()})), DecodeError);
+  EXPECT_THROW(DemandReport::decode(to_cbor({1, 0.2, 3, 0, 0, 0, 1, {1, -2.0, 3}})), DecodeError);
+  EXPECT_THROW(ShareTable::decode(to_cbor({0, 1, 0, 0, nlohmann::json::array({1, 2.0})})), DecodeError);
   for (const double rate : {1.0 / 3, 0.1, 123456.789, 1e-20}) {
     EXPECT_LE(round_rate_down(rate), rate);
     EXPECT_GT(round_rate_down(rate), rate * 0.9999);
