--- a/access/describe.cpp
+++ b/access/describe.cpp
@@ -1,4 +1,4 @@
-// Rules for a person.
+// Renders rules as text for operators, and compares the names of two versions of the settings.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -11,36 +11,36 @@
   std::string out;
   for (const Customer& c : rules.customers) {
     out += "customer " + c.name + ": " + std::to_string(c.rules.size() - 1) + " rules, else " +
-           kSays[static_cast<size_t>(c.rules.back().say)] + "\n";
+           kActionNames[static_cast<size_t>(c.rules.back().action)] + "\n";
     for (const Rule& r : c.rules) {
       if (&r == &c.rules.back()) continue;
-      out += "  " + r.id + ": " + kSays[static_cast<size_t>(r.say)];
-      const auto list = [&](const char* what, const Bits& set, const std::vector<std::string>& names) {
+      out += "  " + r.id + ": " + kActionNames[static_cast<size_t>(r.action)];
+      const auto list = [&](const char* what, const Bitset& set, const std::vector<std::string>& names) {
         if (set.size() == 0 || set.all()) return;
         out += std::string(" ") + what;
-        char between = '=';
-        set.each([&](size_t i) { out += std::exchange(between, ',') + names[i]; });
+        char separator = '=';
+        set.for_each([&](size_t i) { out += std::exchange(separator, ',') + names[i]; });
       };
       list("class", r.classes, rules.names.classes);
-      char between = '=';
+      char separator = '=';
       if (!r.partners.empty()) out += " partner";
-      for (const int partner : r.partners) out += std::exchange(between, ',') + std::to_string(partner);
+      for (const int partner : r.partners) out += std::exchange(separator, ',') + std::to_string(partner);
       list("kind", r.kinds, rules.names.kinds);
       list("from", r.from, rules.names.zones);
       list("to", r.to, rules.names.zones);
-      list("first", r.near, rules.names.zones);
-      if (r.say == Say::kLimit) out += " per_s=" + nlohmann::json(r.per_s).dump();
+      list("first", r.preferred, rules.names.zones);
+      if (r.action == Action::kLimit) out += " per_s=" + nlohmann::json(r.per_s).dump();
       out += "\n";
     }
   }
   return out;
 }
 
-bool names_kept(const Names& old, const Names& next) {
-  const auto begins = [](const std::vector<std::string>& a, const std::vector<std::string>& b) {
+bool names_compatible(const Names& old, const Names& next) {
+  const auto is_prefix = [](const std::vector<std::string>& a, const std::vector<std::string>& b) {
     return a.size() <= b.size() && std::equal(a.begin(), a.end(), b.begin());
   };
-  return begins(old.zones, next.zones) && begins(old.kinds, next.kinds);
+  return is_prefix(old.zones, next.zones) && is_prefix(old.kinds, next.kinds);
 }
 
 }  // namespace umberhoist::access
--- a/access/hits.h
+++ b/access/hits.h
@@ -1,9 +1,10 @@
-// How many messages each rule decided: counts that only grow.
+// Hit counts: how many messages each rule decided.
 //
-// A rule is known by customer, id and digest of its text, so relays need not agree on when it began. Bounds:
-// the rules in force, and of older ones as many again, kMostOlder at least: which of these stay is decided
-// by their digests alone, so that relays that have heard the same keep the same. What is dropped is counted
-// in dropped(). A rule that was dropped and comes back counts from 0.
+// A rule is identified by its customer, its id and the digest of its text, so relays need not agree on when a
+// version of a rule came into force. Beside the rules in force, counts are kept for as many retired rules, or
+// for kMinRetiredRules if that is more. Which retired rules are kept depends only on their keys, so relays
+// that have received the same counts keep the same ones. Hits that are dropped
+// with them are added to dropped(); a dropped rule that comes back counts from 0.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +14,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "decision.h"
 #include "rules.h"
-#include "verdict.h"
 
 namespace umberhoist::access {
 
@@ -30,40 +31,42 @@
   };
 };
 
-using Keys = std::set<RuleKey>;
-Keys keys_of(const Rules& rules);  // those in force, defaults too
+using RuleKeys = std::set<RuleKey>;
+RuleKeys rule_keys(const Rules& rules);  // of all rules, the defaults included
 
-class Counts {
+class HitCounts {
  public:
-  static constexpr size_t kMostOlder = 100;
+  static constexpr size_t kMinRetiredRules = 100;
   using Map = std::unordered_map<RuleKey, uint64_t, RuleKey::Hash>;
 
-  // A message that these decided.
-  void add(const std::string& customer, const std::vector<Decider>& rules);
-  // It was not taken on after all; only right after its add().
-  void take_back(const std::string& customer, const std::vector<Decider>& rules);
+  // Counts one message that these rules decided.
+  void add(const std::string& customer, const std::vector<DecidingRule>& rules);
+  // Reverts add() for a message that could not be stored. Must follow its add() immediately.
+  void undo_add(const std::string& customer, const std::vector<DecidingRule>& rules);
 
-  // Another's, which counted other messages, besides these.
-  void plus(const Counts& other);
-  // Another's, which counted the same messages as far as it knew: of each rule the larger.
-  void larger(const RuleKey& key, uint64_t count);
-  void larger_total(uint64_t total) { total_ = std::max(total_, total); }
+  // Adds counts of other messages.
+  void add_all(const HitCounts& other);
+  // Merges a count of the same messages: the larger value is kept.
+  void raise(const RuleKey& key, uint64_t count);
+  void raise_total(uint64_t total) { total_ = std::max(total_, total); }
 
-  // Drops what is above the bound.
-  void keep(const Keys& in_force);
+  // Drops counts of retired rules above the bound.
+  void prune(const RuleKeys& in_force);
 
-  uint64_t of(const RuleKey& key) const;
+  uint64_t count_of(const RuleKey& key) const;
   const Map& by_rule() const { return by_rule_; }
-  uint64_t total() const { return total_; }  // hits ever counted, dropped ones too: never falls
+  uint64_t total() const { return total_; }  // of all hits, dropped ones included: never decreases
   uint64_t dropped() const { return dropped_; }
-  uint64_t digest() const { return digest_; }  // of the counts by rule: equal ones have equal digests
-  size_t bytes() const { return bytes_; }      // at most, as packed
+  uint64_t digest() const { return digest_; }  // of the counts by rule, independent of their order
+  size_t max_encoded_bytes() const { return max_encoded_bytes_; }  // upper bound of the length of encode()
   bool empty() const { return total_ == 0; }
-  bool operator==(const Counts& other) const { return total_ == other.total_ && by_rule_ == other.by_rule_; }
+  bool operator==(const HitCounts& other) const {
+    return total_ == other.total_ && by_rule_ == other.by_rule_;
+  }
 
-  // CBOR, and back. Throws fleet::Bad on what is not it.
-  std::string packed() const;
-  static Counts unpacked(std::string_view bytes);
+  // CBOR. decode() throws fleet::Bad if the bytes are malformed.
+  std::string encode() const;
+  static HitCounts decode(std::string_view bytes);
 
  private:
   void set(const RuleKey& key, uint64_t count);
@@ -72,7 +75,7 @@
   uint64_t total_ = 0;
   uint64_t dropped_ = 0;
   uint64_t digest_ = 0;
-  size_t bytes_ = 32;
+  size_t max_encoded_bytes_ = 32;
 };
 
 }  // namespace umberhoist::access
--- a/access/rules.h
+++ b/access/rules.h
@@ -1,11 +1,11 @@
-// Customers' rules as the policy writes them (settings.realms[].access), read into lists that can be decided
-// by: docs/access.md has the form.
+// Customers' access rules: parses them from the policy (settings.realms[].access; docs/access.md describes
+// the format) and validates them.
 //
-// Promised: what cannot be is turned down whole, by a Fault whose `where` is the key and the rule's id,
-// before anything is sent. A rule that no message can reach is found where one earlier rule covers it, and
-// where several do as far as a stated amount of work tells (docs/access.md); a rule that a message can reach
-// is never turned down. Equal texts have equal digests in each process and build; the order within lists and
-// of keys changes nothing.
+// Invalid rules are rejected as a whole, before anything is sent, by a Fault whose `where` is the key and the
+// rule's id. A rule that no message can reach is invalid too. It is always detected if a single earlier rule
+// covers it, and if several do together within a fixed amount of work (docs/access.md). A reachable rule is
+// never rejected. Equal rules have equal digests in each process and build; the order of keys and of entries
+// in lists does not matter.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,18 @@
 #include <vector>
 
 #include "../include/umberhoist/fault.h"
-#include "bits.h"
+#include "bitset.h"
 
 namespace umberhoist::access {
 
-constexpr size_t kMostRules = 10'000;               // of all customers
-constexpr size_t kMostId = 64;                      // bytes
-inline constexpr const char* kDefault = "default";  // the id under which a customer's default counts
+constexpr size_t kMaxRules = 10'000;  // over all customers
+constexpr size_t kMaxIdBytes = 64;
+inline constexpr const char* kDefaultId = "default";  // id of a customer's default in hit counts
 
 inline constexpr FaultKind kMalformed{"rules_malformed", "write it as docs/access.md shows"};
 inline constexpr FaultKind kUnknownKey{"rules_unknown_key", "remove or correct the key"};
-inline constexpr FaultKind kUnknownSay{"rules_unknown_say", "say allow, deny, prefer or limit"};
+// An action is the key `say` of a rule.
+inline constexpr FaultKind kUnknownAction{"rules_unknown_say", "say allow, deny, prefer or limit"};
 inline constexpr FaultKind kUnknownName{
     "rules_unknown_name",
     "use a name of settings.categories, settings.kinds or settings.azs, or add it there first"};
@@ -32,65 +33,67 @@
 inline constexpr FaultKind kBadId{"rules_bad_id",
                                   "give each rule an id of 1 to 64 printable bytes without spaces, quotes or "
                                   "backslashes, and not 'default'"};
-inline constexpr FaultKind kIdTwice{"rules_id_twice", "give each rule of a customer an id of its own"};
+inline constexpr FaultKind kDuplicateId{"rules_id_twice", "give each rule of a customer an id of its own"};
 inline constexpr FaultKind kBadRate{"rules_bad_rate",
                                     "give a limit, and only a limit, per_s above 0 and at most 1000000000"};
 inline constexpr FaultKind kShadowed{
     "rules_shadowed", "move it before the rules that cover it, make those narrower, or remove it"};
-inline constexpr FaultKind kTooMany{"rules_too_many",
-                                    "join rules: lists of classes, partners, kinds and regions are one rule"};
-inline constexpr FaultKind kNoCustomer{"rules_no_customer", "give the realm a name that no other has"};
+inline constexpr FaultKind kTooManyRules{
+    "rules_too_many", "join rules: lists of classes, partners, kinds and regions are one rule"};
+inline constexpr FaultKind kNoUniqueCustomer{"rules_no_customer", "give the realm a name that no other has"};
 inline constexpr FaultKind kNoRegion{"rules_no_region", "set settings.zone to one of settings.azs"};
-inline constexpr FaultKind kNamesMoved{
+inline constexpr FaultKind kNamesReordered{
     "rules_names_moved",
     "only append to settings.azs and settings.kinds while rules hold messages, or start the relay again"};
-inline constexpr FaultKind kHitsNewer{"access_hits_newer",
-                                      "run the program that wrote the folder, or a newer one"};
-inline constexpr FaultKind kAccessFaults[] = {
-    kMalformed, kUnknownKey, kUnknownSay, kUnknownName, kBadPartner, kBadId,      kIdTwice,
-    kBadRate,   kShadowed,   kTooMany,    kNoCustomer,  kNoRegion,   kNamesMoved, kHitsNewer};
+inline constexpr FaultKind kHitsFormatTooNew{"access_hits_newer",
+                                             "run the program that wrote the folder, or a newer one"};
+inline constexpr FaultKind kAccessErrors[] = {
+    kMalformed,      kUnknownKey,      kUnknownAction, kUnknownName,  kBadPartner,       kBadId,
+    kDuplicateId,    kBadRate,         kShadowed,      kTooManyRules, kNoUniqueCustomer, kNoRegion,
+    kNamesReordered, kHitsFormatTooNew};
 
-// The settings' names, in the order of their numbers.
+// Names of settings.categories, settings.kinds and settings.azs, in the order of their indexes.
 struct Names {
   std::vector<std::string> classes, kinds, zones;
   bool operator==(const Names&) const = default;
 };
 
-enum class Say { kAllow, kDeny, kPrefer, kLimit };
-constexpr const char* kSays[] = {"allow", "deny", "prefer", "limit"};
+// The key `say` of a rule.
+enum class Action { kAllow, kDeny, kPrefer, kLimit };
+constexpr const char* kActionNames[] = {"allow", "deny", "prefer", "limit"};
 
 struct Rule {
   std::string id;
   uint64_t digest = 0;  // XXH64 of its canonical text
-  Say say = Say::kAllow;
-  // What it matches: numbers of names; all where the text has no list.
-  Bits classes, kinds, from, to;
-  std::vector<int> partners;  // sorted; empty: each
-  Bits near;                  // prefer: the regions that go first; its `to` is all
+  Action action = Action::kAllow;
+  // What the rule matches, as indexes into Names; everything where its text has no list.
+  Bitset classes, kinds, from, to;
+  std::vector<int> partners;  // sorted; empty: all
+  Bitset preferred;           // prefer: the preferred regions; `to` holds all regions then
   double per_s = 0;           // limit: calls a second over the whole fleet
 };
 
 struct Customer {
   std::string name;
-  std::vector<Rule> rules;  // in their order; the last is the default, which matches all
+  std::vector<Rule> rules;  // in order of precedence; the last is the default, which matches everything
 };
 
 struct Rules {
   Names names;
-  int zone = 0;  // this relay's
+  int zone = 0;  // of this relay
   std::vector<Customer> customers;
-  size_t count = 0;  // of rules, defaults left out
+  size_t count = 0;  // number of rules without the defaults
 
   bool empty() const { return customers.empty(); }
 };
 
-// `settings` has names of the right form (categories, kinds, azs) and may have realms. Throws Fault.
+// `settings` must have well-formed names (categories, kinds, azs); realms are optional. Throws Fault.
 Rules parse_rules(const nlohmann::json& settings);
 
-// Lines for a person: each customer, its default and its rules.
+// Lines for operators: each customer, its default and its rules.
 std::string describe(const Rules& rules);
 
-// Whether numbers of zones and kinds mean the same in both, as far as the old ones know them.
-bool names_kept(const Names& old, const Names& next);
+// Whether the indexes of all zones and kinds of `old` mean the same in `next`: names were only appended.
+bool names_compatible(const Names& old, const Names& next);
 
 }  // namespace umberhoist::access
--- a/access/shadow.cpp
+++ b/access/shadow.cpp
@@ -3,36 +3,36 @@
 #include <algorithm>
 #include <iterator>
 
-#include "index.h"
+#include "rule_index.h"
 
 namespace umberhoist::access {
 namespace {
 
-// Named partners, or all but these.
+// A set of partners: those in `named`, or all others.
 struct Partners {
-  bool others = false;
+  bool complement = false;
   std::vector<int> named;  // sorted
 
-  explicit Partners(const std::vector<int>& list) : others(list.empty()), named(list) {}
+  explicit Partners(const std::vector<int>& list) : complement(list.empty()), named(list) {}
 
-  bool any() const { return others || !named.empty(); }
-  Partners without(const Partners& b) const { return cut(b, false); }
-  Partners with(const Partners& b) const { return cut(b, true); }
+  bool any() const { return complement || !named.empty(); }
+  Partners difference(const Partners& b) const { return combine(b, false); }
+  Partners intersection(const Partners& b) const { return combine(b, true); }
 
  private:
-  // What lies within b, or what does not.
-  Partners cut(const Partners& b, bool within) const {
+  // The intersection with b, or the difference.
+  Partners combine(const Partners& b, bool intersect) const {
     Partners out({});
-    const bool keep_named = b.others != within;  // of ours, those that b names; else those that it does not
+    const bool keep_named = b.complement != intersect;  // keeps what b names, or what it does not
     const auto add = std::back_inserter(out.named);
-    if (others && keep_named) {  // all that b names but what we leave out
-      out.others = false;
+    if (complement && keep_named) {  // what b names, without what this set excludes
+      out.complement = false;
       std::ranges::set_difference(b.named, named, add);
-    } else if (others) {
-      out.others = true;
+    } else if (complement) {
+      out.complement = true;
       std::ranges::set_union(named, b.named, add);
     } else {
-      out.others = false;
+      out.complement = false;
       if (keep_named) {
         std::ranges::set_intersection(named, b.named, add);
       } else {
@@ -44,92 +44,95 @@
 };
 
 struct Box {
-  Bits classes, kinds, from, to;
+  Bitset classes, kinds, from, to;
   Partners partners;
 
   explicit Box(const Rule& r)
       : classes(r.classes), kinds(r.kinds), from(r.from), to(r.to), partners(r.partners) {}
 };
 
-// What is left of `whole` beside `gone`: at most a box for each dimension.
-void subtract(Box whole, const Box& gone, std::vector<Box>& out) {
-  if (!whole.classes.meets(gone.classes) || !whole.kinds.meets(gone.kinds) || !whole.from.meets(gone.from) ||
-      !whole.to.meets(gone.to) || !whole.partners.with(gone.partners).any()) {
-    out.push_back(std::move(whole));
+// Appends `box` without `removed` to `out`: at most one box per dimension.
+void subtract(Box box, const Box& removed, std::vector<Box>& out) {
+  if (!box.classes.intersects(removed.classes) || !box.kinds.intersects(removed.kinds) ||
+      !box.from.intersects(removed.from) || !box.to.intersects(removed.to) ||
+      !box.partners.intersection(removed.partners).any()) {
+    out.push_back(std::move(box));
     return;
   }
-  for (Bits Box::*side : {&Box::classes, &Box::kinds, &Box::from, &Box::to}) {
-    Bits rest = whole.*side;
-    rest -= gone.*side;
+  for (Bitset Box::*side : {&Box::classes, &Box::kinds, &Box::from, &Box::to}) {
+    Bitset rest = box.*side;
+    rest -= removed.*side;
     if (rest.any()) {
-      out.push_back(whole);
+      out.push_back(box);
       out.back().*side = std::move(rest);
-      whole.*side &= gone.*side;
+      box.*side &= removed.*side;
     }
   }
-  if (Partners rest = whole.partners.without(gone.partners); rest.any()) {
-    whole.partners = std::move(rest);
-    out.push_back(std::move(whole));
+  if (Partners rest = box.partners.difference(removed.partners); rest.any()) {
+    box.partners = std::move(rest);
+    out.push_back(std::move(box));
   }
 }
 
-// A message that reaches the rule, sought at a few places: most rules that can be reached are seen here.
-bool reached_somewhere(const Index& index, const Rule& rule, size_t at) {
-  const auto pick = [](const Bits& set, size_t turn) {
+// Looks for a message that reaches the rule at a few sample points. Finds one for most reachable rules, which
+// then need no set subtraction.
+bool reachable_by_sample(const RuleIndex& index, const Rule& rule, size_t position) {
+  const auto pick = [](const Bitset& set, size_t sample) {
     std::vector<size_t> values;
-    set.each([&](size_t v) { values.push_back(v); });
-    return values[turn % values.size()];
+    set.for_each([&](size_t v) { values.push_back(v); });
+    return values[sample % values.size()];
   };
-  for (size_t turn = 0; turn < 8; ++turn) {
-    Bits left = rule.partners.empty() ? index.any_partner()
-                                      : index.of_partner(rule.partners[turn % rule.partners.size()]);
-    left &= index.of_class(pick(rule.classes, turn));
-    left &= index.from(pick(rule.from, turn));
-    if (Bits::first_of(left, index.of_kind(pick(rule.kinds, turn)), index.to(pick(rule.to, turn))) == at) {
+  for (size_t sample = 0; sample < 8; ++sample) {
+    Bitset left = rule.partners.empty() ? index.any_partner()
+                                        : index.with_partner(rule.partners[sample % rule.partners.size()]);
+    left &= index.with_class(pick(rule.classes, sample));
+    left &= index.with_source(pick(rule.from, sample));
+    if (Bitset::first_common(left, index.with_kind(pick(rule.kinds, sample)),
+                             index.with_target(pick(rule.to, sample))) == position) {
       return true;
     }
   }
   return false;
 }
 
-bool covered_together(const Customer& customer, const Bits& earlier, const Rule& rule, Work& work) {
-  int left = std::min(work.for_rule, work.left);
+bool covered_by_union(const Customer& customer, const Bitset& earlier, const Rule& rule, StepBudget& budget) {
+  int left = std::min(budget.max_per_rule, budget.remaining);
   const int before = left;
   std::vector<Box> rest{Box(rule)}, next;
   std::vector<size_t> order;
-  earlier.each([&](size_t i) { order.push_back(i); });
+  earlier.for_each([&](size_t i) { order.push_back(i); });
   for (const size_t i : order) {
-    const Box gone(customer.rules[i]);
+    const Box removed(customer.rules[i]);
     next.clear();
     for (Box& box : rest) {
-      left -= 1 + static_cast<int>(box.partners.named.size() + gone.partners.named.size());
+      left -= 1 + static_cast<int>(box.partners.named.size() + removed.partners.named.size());
       if (left <= 0) break;
-      subtract(std::move(box), gone, next);
+      subtract(std::move(box), removed, next);
     }
     if (left <= 0) break;
     rest.swap(next);
     if (rest.empty()) break;
   }
-  work.left -= before - std::max(left, 0);
+  budget.remaining -= before - std::max(left, 0);
   return left > 0 && rest.empty();
 }
 
 }  // namespace
 
-std::optional<Shadow> first_shadowed(const Customer& customer, Work& work) {
-  const Index index(customer);
-  const Rule& any = customer.rules.back();
-  // With no class, kind or region at all there is nothing to be reached.
-  if (!any.classes.any() || !any.kinds.any() || !any.to.any()) return {};
+std::optional<Shadow> find_shadowed_rule(const Customer& customer, StepBudget& budget) {
+  const RuleIndex index(customer);
+  const Rule& match_all = customer.rules.back();
+  // Without any class, kind or region no message matches any rule.
+  if (!match_all.classes.any() || !match_all.kinds.any() || !match_all.to.any()) return {};
   for (size_t i = 0; i + 1 < customer.rules.size(); ++i) {
     const Rule& rule = customer.rules[i];
-    if (reached_somewhere(index, rule, i)) continue;
-    Bits covering = index.covering(rule);
-    covering.cut(i);
+    if (reachable_by_sample(index, rule, i)) continue;
+    Bitset covering = index.covering(rule);
+    covering.truncate(i);
     if (covering.any()) return Shadow{i, static_cast<int>(covering.first())};
-    Bits meeting = index.meeting(rule);
-    meeting.cut(i);
-    if (covered_together(customer, meeting, rule, work)) return Shadow{i, -1};
+    Bitset overlapping = index.overlapping(rule);
+    overlapping.truncate(i);
+    if (covered_by_union(customer, overlapping, rule, budget)) return Shadow{i, -1};
   }
   return {};
 }
--- a/access/shadow.h
+++ b/access/shadow.h
@@ -1,9 +1,9 @@
-// Rules that no message can reach, since earlier ones decide all that they match.
+// Finds shadowed rules: rules that no message can reach, because earlier rules decide everything they match.
 //
-// A rule that one earlier rule covers is always found. Whether several cover it together is exact set
-// subtraction (boxes over class, partner, kind, from, to), as far as `Work` lasts; what is not looked through
-// by then counts as reachable. So a rule that is named can be reached by no message, ever; the answer depends
-// on the rules alone.
+// A rule that a single earlier rule covers is always found. Whether several earlier rules cover it together
+// is decided by exact set subtraction (boxes over class, partner, kind, from and to) within a StepBudget; a
+// rule that is not fully checked within it counts as reachable. So there are no false positives, and the
+// result depends only on the rules.
 #pragma once
 
 #include <optional>
@@ -12,17 +12,18 @@
 
 namespace umberhoist::access {
 
-struct Work {             // steps: boxes looked at, each with the length of its list of partners
-  int left = 400'000;     // for all customers of a policy
-  int for_rule = 20'000;  // of these, at most, for each rule
+// A step is the visit of a box or of an entry in its list of partners.
+struct StepBudget {
+  int remaining = 400'000;    // for all customers of a policy
+  int max_per_rule = 20'000;  // at most, out of `remaining`
 };
 
 struct Shadow {
   size_t rule = 0;
-  int by = -1;  // the earlier rule that covers it; -1: several together
+  int covered_by = -1;  // index of the earlier rule that covers it; -1: several do together
 };
 
-// Of the customer's rules, its default left out, the first such one.
-std::optional<Shadow> first_shadowed(const Customer& customer, Work& work);
+// The first shadowed rule of a customer. The default is not checked.
+std::optional<Shadow> find_shadowed_rule(const Customer& customer, StepBudget& budget);
 
 }  // namespace umberhoist::access
--- a/relay/access_calls.cpp
+++ b/relay/access_calls.cpp
@@ -33,7 +33,9 @@
 }
 
 std::string age_ms(Time now, Time fresh) {
-  return fresh == access::Spread::kUnheard ? "-" : std::to_string(std::max<Time>(0, now - fresh) / 1000);
+  return fresh == access::HitReplicator::kNeverComplete
+             ? "-"
+             : std::to_string(std::max<Time>(0, now - fresh) / 1000);
 }
 
 }  // namespace
@@ -52,9 +54,9 @@
   see_own();
   if (!whole()) return "ERR not whole yet: the other relays' counts are being heard anew\n";
   const Time now = steady_now();
-  const access::Counts all = spread_.fleet(now);
-  const access::Counts& own = custody_.journal().hits().counts();
-  const access::Keys& in_force = custody_.customers().in_force();
+  const access::HitCounts all = spread_.fleet_counts(now);
+  const access::HitCounts& own = custody_.journal().hits().counts();
+  const access::RuleKeys& in_force = custody_.customers().in_force();
   std::map<access::RuleKey, std::pair<uint64_t, uint64_t>> rows;
   for (const auto& key : in_force) rows[key];
   for (const auto& [key, count] : all.by_rule()) rows[key].second = count;
@@ -69,10 +71,10 @@
            " id=" + key.id + " digest=" + hex(key.digest) +
            " in_force=" + (in_force.contains(key) ? "1" : "0") + " customer=" + plain(key.customer) + "\n";
   }
-  for (const auto& [origin, part] : spread_.parts(now)) {
-    out += "part age_ms=" + age_ms(now, part.fresh) + " hits=" + std::to_string(part.counts.total()) +
-           " folder=" + hex(origin.number) + " own=" + (spread_.is_own(origin) ? "1" : "0") +
-           " relay=" + plain(origin.relay) + "\n";
+  for (const auto& [origin, part] : spread_.origins(now)) {
+    out += "part age_ms=" + age_ms(now, part.complete_as_of) +
+           " hits=" + std::to_string(part.counts.total()) + " folder=" + hex(origin.folder_id) +
+           " own=" + (spread_.is_own(origin) ? "1" : "0") + " relay=" + plain(origin.relay) + "\n";
   }
   return out + "END\n";
 }
@@ -85,13 +87,13 @@
   const auto line = [&](const std::string& name, uint64_t value) {
     out += "access_" + name + " " + std::to_string(value) + "\n";
   };
-  const access::Counts& own = custody_.journal().hits().counts();
-  const access::Counts all = spread_.fleet(now);
+  const access::HitCounts& own = custody_.journal().hits().counts();
+  const access::HitCounts all = spread_.fleet_counts(now);
   // Those hit most, one series each of own and fleet; the rest by customer.
   std::vector<std::pair<uint64_t, const access::RuleKey*>> order;
   for (const auto& [key, count] : all.by_rule()) order.emplace_back(count, &key);
   for (const auto& [key, count] : own.by_rule()) {
-    if (all.of(key) == 0) order.emplace_back(count, &key);
+    if (all.count_of(key) == 0) order.emplace_back(count, &key);
   }
   std::ranges::sort(order, [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first > b.first : *a.second < *b.second;
@@ -103,7 +105,7 @@
   };
   for (size_t i = 0; i < order.size(); ++i) {
     const access::RuleKey& key = *order[i].second;
-    const uint64_t here = own.of(key), fleet = all.of(key);
+    const uint64_t here = own.count_of(key), fleet = all.count_of(key);
     if (i < kMostSeries / 2) {
       series("customer=\"" + label(key.customer) + "\",rule=\"" + label(key.id) + "\",digest=\"" +
                  hex(key.digest) + "\"",
@@ -118,8 +120,9 @@
   for (const auto& [customer, sum] : rest)
     series("customer=\"" + label(customer) + "\",rule=\"\"", sum.first, sum.second);
   Time oldest = 0;
-  for (const auto& [origin, part] : spread_.parts(now)) {
-    if (part.fresh != access::Spread::kUnheard) oldest = std::max(oldest, now - part.fresh);
+  for (const auto& [origin, part] : spread_.origins(now)) {
+    if (part.complete_as_of != access::HitReplicator::kNeverComplete)
+      oldest = std::max(oldest, now - part.complete_as_of);
   }
   line("rules", custody_.customers().in_force().size());
   line("denied_total", custody_.denied());
@@ -127,11 +130,11 @@
   line("verdict_passes_total", custody_.customers().passes());
   line("limits", custody_.customers().limits().size());
   line("whole", shown ? 1 : 0);
-  line("origins", spread_.parts(now).size());
+  line("origins", spread_.origins(now).size());
   line("oldest_part_ms", static_cast<uint64_t>(oldest / 1000));
   line("exchanges_total", spread_.exchanges());
   line("messages_unreadable_total", spread_.dropped().unreadable);
-  line("counts_no_room_total", spread_.dropped().no_room);
+  line("counts_no_room_total", spread_.dropped().over_limit);
   line("hits_dropped_total", own.dropped());
   line("parts_unwritten_total", unwritten_);
   return out;
--- a/relay/access_link.cpp
+++ b/relay/access_link.cpp
@@ -62,7 +62,7 @@
 void AccessLink::retune(const Config& config) {
   most_ = config.disk_bytes / 100;
   described_ = access::describe(config.access);
-  spread_.in_force(custody_.customers().in_force());
+  spread_.set_rules_in_force(custody_.customers().in_force());
 }
 
 void AccessLink::join(FleetLink& fleet) {
@@ -100,7 +100,7 @@
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error || fleet_ == nullptr) return;
     see_own();
-    spread_.peers(fleet_->live_peers());
+    spread_.set_peers(fleet_->live_peers());
     spread_.woke(steady_now());
     step();
     if (steady_now() - written_ >= kWriteEvery) write();
@@ -111,19 +111,19 @@
 // From the first hit on there are some.
 void AccessLink::see_own() {
   const JournalHits& own = custody_.journal().hits();
-  if (own.begun()) spread_.own(own.folder(), own.counts());
+  if (own.begun()) spread_.set_own(own.folder(), own.counts());
 }
 
 bool AccessLink::whole() {
   if (whole_ || fleet_ == nullptr || !restored_) return whole_;
   const Time now = steady_now();
   const std::vector<std::string> live = fleet_->live_peers();
-  const auto& parts = spread_.parts(now);
+  const auto& parts = spread_.origins(now);
   const bool anew = std::ranges::all_of(parts, [&](const auto& entry) {
     const auto& [origin, part] = entry;
     // An emptied folder's part is told by nobody anew: its relay counts under another number.
     const bool newer = std::ranges::any_of(parts, [&](const auto& other) {
-      return other.first.relay == origin.relay && other.second.fresh >= joined_;
+      return other.first.relay == origin.relay && other.second.complete_as_of >= joined_;
     });
     return newer || std::ranges::find(live, origin.relay) == live.end();
   });
@@ -139,8 +139,8 @@
     ++unwritten_;
     return;
   }
-  if (spread_.parts(written_).empty()) return;
-  const std::string stored = spread_.stored(written_, most_);
+  if (spread_.origins(written_).empty()) return;
+  const std::string stored = spread_.serialize(written_, most_);
   const std::string body =
       fleet::to_cbor({static_cast<uint64_t>(std::max<Time>(0, instant_now().wall)), fleet::bytes_of(stored)});
   const std::string bytes = fleet::framed(body);
--- a/relay/access_link.h
+++ b/relay/access_link.h
@@ -14,7 +14,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <string>
 
-#include "../access/spread.h"
+#include "../access/hit_replicator.h"
 #include "config.h"
 #include "custody.h"
 #include "fleet_link.h"
@@ -24,7 +24,7 @@
 class AccessLink {
  public:
   static constexpr Time kWriteEvery = 10'000'000;
-  static constexpr Time kAlone = 3 * umberhoist::access::Spread::kPeriod;
+  static constexpr Time kAlone = 3 * umberhoist::access::HitReplicator::kPeriod;
   static constexpr Time kWholeAtLast = 30'000'000;
   static constexpr size_t kMostSeries = 200;    // of METRICS by rule; the rest is summed by customer
   static constexpr size_t kMostCustomers = 50;  // of these sums; the rest is one
@@ -58,7 +58,7 @@
   std::string path_;
   size_t most_;  // bytes of the file
   std::string described_;
-  umberhoist::access::Spread spread_;
+  umberhoist::access::HitReplicator spread_;
   FleetLink* fleet_ = nullptr;  // null: it is in none now
   bool restored_ = false;
   bool whole_;  // the fleet's counts may be shown
--- a/relay/budget_link.cpp
+++ b/relay/budget_link.cpp
@@ -120,7 +120,7 @@
 void BudgetLink::take_limits() {
   const auto all = host_.limits();
   std::map<std::string, int> now;
-  for (const auto& limit : all) now[limit.budget] = limit.number;
+  for (const auto& limit : all) now[limit.budget] = limit.id;
   for (const auto& [budget, number] : std::exchange(limits_, now)) {
     if (!now.contains(budget)) whole(budget, 0, {Granted::Of::kLimit, number});
   }
@@ -128,7 +128,7 @@
   std::unordered_map<uint64_t, double> of_policy;
   for (const auto& limit : all) {
     of_policy[fleet::budget_hash(limit.budget)] = limit.per_s;
-    whole(limit.budget, limit.per_s, {Granted::Of::kLimit, limit.number});
+    whole(limit.budget, limit.per_s, {Granted::Of::kLimit, limit.id});
   }
   divider().wholes(std::move(of_policy));
 }
--- a/relay/budget_link.h
+++ b/relay/budget_link.h
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "../access/limit_numbers.h"
+#include "../access/limit_registry.h"
 #include "../fleet/budget_rider.h"
 #include "budget_faults.h"
 #include "config.h"
--- a/relay/custody.cpp
+++ b/relay/custody.cpp
@@ -92,7 +92,7 @@
   in.keeps_turn = true;
   in.due = handed.budget.due();
   in.destination = handed.destination;
-  in.ways = umberhoist::access::ways_of(handed.verdict);
+  in.ways = umberhoist::access::routes_of(handed.verdict);
   in.room = journal_.has_room(handed);
   numbers_[handed.id] = number;
   held_[number] = {std::move(handed), 0, false, false, Stage::kQueue, steady_now()};
--- a/relay/custody_resume.cpp
+++ b/relay/custody_resume.cpp
@@ -35,7 +35,7 @@
     in.keeps_turn = true;
     in.due = held.handed.budget.due();
     in.destination = entry.message.destination;
-    in.ways = umberhoist::access::ways_of(held.handed.verdict);
+    in.ways = umberhoist::access::routes_of(held.handed.verdict);
     in.resumed = true;
     in.attempts = entry.attempts;
     in.pause = pause;
--- a/relay/customer_rules.cpp
+++ b/relay/customer_rules.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "../access/verdict_record.h"
+#include "../access/decision_record.h"
 
 namespace firspool::relay {
 
@@ -12,18 +12,18 @@
 void CustomerRules::retune(const access::Rules& rules) {
   names_ = rules.names;
   zone_ = rules.zone;
-  in_force_ = access::keys_of(rules);
-  if (rules.empty()) limits_.begin_version();
-  compiled_ = rules.empty() ? nullptr : std::make_unique<access::Compiled>(rules, limits_);
+  in_force_ = access::rule_keys(rules);
+  if (rules.empty()) limits_.begin_policy_version();
+  compiled_ = rules.empty() ? nullptr : std::make_unique<access::CompiledRules>(rules, limits_);
 }
 
-std::shared_ptr<const access::Verdict> CustomerRules::of(const Handed& message) const {
+std::shared_ptr<const access::Decision> CustomerRules::of(const Handed& message) const {
   if (!compiled_) return nullptr;
-  return compiled_->verdict(message.tenant, message.message_class, message.destination, zone_);
+  return compiled_->decide(message.tenant, message.message_class, message.destination, zone_);
 }
 
-std::shared_ptr<const access::Verdict> CustomerRules::recorded(std::string_view bytes) {
-  return bytes.empty() ? nullptr : access::unpacked(bytes, names_, limits_);
+std::shared_ptr<const access::Decision> CustomerRules::recorded(std::string_view bytes) {
+  return bytes.empty() ? nullptr : access::decode_decision(bytes, names_, limits_);
 }
 
 std::vector<Granted> CustomerRules::even_parts(int relays) {
@@ -31,10 +31,10 @@
   std::map<int, double> now;
   for (const access::Limit& limit : limits()) {
     const double part = limit.per_s / std::max(1, relays);
-    now[limit.number] = part;
-    const auto told = told_.find(limit.number);
+    now[limit.id] = part;
+    const auto told = told_.find(limit.id);
     if (told != told_.end() && told->second == part) continue;
-    out.push_back({Granted::Of::kLimit, limit.number, part});
+    out.push_back({Granted::Of::kLimit, limit.id, part});
   }
   told_ = std::move(now);
   return out;
--- a/relay/journal.cpp
+++ b/relay/journal.cpp
@@ -115,7 +115,7 @@
   return false;
 }
 
-bool Journal::denied(const umberhoist::access::Verdict& verdict) {
+bool Journal::denied(const umberhoist::access::Decision& verdict) {
   if (!counts()) return false;
   hits_.add(verdict);
   if (write(record::denied(verdict))) return true;
--- a/relay/journal.h
+++ b/relay/journal.h
@@ -71,9 +71,9 @@
   // False: there is no room or it could not be written, and the message must not be taken on.
   bool accepted(const Handed& message);
   // False: it could not be written, and must not be answered as denied.
-  bool denied(const umberhoist::access::Verdict& verdict);
+  bool denied(const umberhoist::access::Decision& verdict);
   const JournalHits& hits() const { return hits_; }
-  void keep_hits(const umberhoist::access::Keys& in_force) { hits_.keep(in_force); }
+  void keep_hits(const umberhoist::access::RuleKeys& in_force) { hits_.keep(in_force); }
   // Sent now. False: it could not be written, and the call must not start.
   bool attempt(const std::string& id, int number, int zone);
   void never_ran(const std::string& id, int number);
--- a/relay/journal_hits.cpp
+++ b/relay/journal_hits.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "../access/verdict_record.h"
+#include "../access/decision_record.h"
 #include "../fleet/reading.h"
 #include "disk_faults.h"
 #include "lasting_file.h"
@@ -40,8 +40,8 @@
 
 void JournalHits::count(std::string_view verdict) {
   std::string customer;
-  std::vector<access::Decider> rules;
-  if (access::read_deciders(verdict, customer, rules)) counts_.add(customer, rules);
+  std::vector<access::DecidingRule> rules;
+  if (access::decode_deciding_rules(verdict, customer, rules)) counts_.add(customer, rules);
 }
 
 // [folder, file, folded, counts]
@@ -52,25 +52,25 @@
     out.folder_ = number_of(at(whole, 0));
     out.file_ = number_of(at(whole, 1));
     out.folded_ = number_of(at(whole, 2));
-    out.counts_ = access::Counts::unpacked(bytes_in(at(whole, 3)));
+    out.counts_ = access::HitCounts::decode(bytes_in(at(whole, 3)));
     *this = std::move(out);
   } catch (const Bad&) {
-    throw umberhoist::Fault(access::kHitsNewer, "journal", "has totals of hits that do not read");
+    throw umberhoist::Fault(access::kHitsFormatTooNew, "journal", "has totals of hits that do not read");
   }
 }
 
 std::string JournalHits::packed() const {
-  return to_cbor({folder_, file_, folded_, bytes_of(counts_.packed())});
+  return to_cbor({folder_, file_, folded_, bytes_of(counts_.encode())});
 }
 
 bool JournalHits::fold(const JournalHits& left) {
   if (!left.begun() || left.file_ == folded_) return false;
   if (!begun()) begin(left.folder_);
   if (left.folded_ == file_) {  // it had added this one, which counted nothing since
-    for (const auto& [rule, hits] : left.counts_.by_rule()) counts_.larger(rule, hits);
-    counts_.larger_total(left.counts_.total());
+    for (const auto& [rule, hits] : left.counts_.by_rule()) counts_.raise(rule, hits);
+    counts_.raise_total(left.counts_.total());
   } else {
-    counts_.plus(left.counts_);
+    counts_.add_all(left.counts_);
   }
   folded_ = left.file_;
   return true;
--- a/relay/journal_hits.h
+++ b/relay/journal_hits.h
@@ -31,17 +31,17 @@
   uint64_t file() const { return file_; }
   void begin(uint64_t folder) { *this = begun_in(folder); }
 
-  void add(const umberhoist::access::Verdict& verdict) { counts_.add(verdict.customer, verdict.rules); }
-  void take_back(const umberhoist::access::Verdict& verdict) {
-    counts_.take_back(verdict.customer, verdict.rules);
+  void add(const umberhoist::access::Decision& verdict) { counts_.add(verdict.customer, verdict.rules); }
+  void take_back(const umberhoist::access::Decision& verdict) {
+    counts_.undo_add(verdict.customer, verdict.rules);
   }
-  void keep(const umberhoist::access::Keys& in_force) { counts_.keep(in_force); }
+  void keep(const umberhoist::access::RuleKeys& in_force) { counts_.prune(in_force); }
   // What a process that is gone counted in another file of this folder. False: nothing is new.
   bool fold(const JournalHits& left);
 
-  const umberhoist::access::Counts& counts() const { return counts_; }
-  std::string packed() const;                                             // as totals() reads it
-  size_t bytes() const { return begun() ? kHead + counts_.bytes() : 0; }  // at most, as a record
+  const umberhoist::access::HitCounts& counts() const { return counts_; }
+  std::string packed() const;                                                         // as totals() reads it
+  size_t bytes() const { return begun() ? kHead + counts_.max_encoded_bytes() : 0; }  // at most, as a record
 
  private:
   static constexpr size_t kHead = 128;
@@ -52,7 +52,7 @@
   uint64_t folder_ = 0;
   uint64_t file_ = 0;
   uint64_t folded_ = 0;  // the file that was added last
-  umberhoist::access::Counts counts_;
+  umberhoist::access::HitCounts counts_;
 };
 
 // The number of the folder that lasts: drawn once, in a file of its own, and the same for each process. 0: it
--- a/relay/journal_records.cpp
+++ b/relay/journal_records.cpp
@@ -111,7 +111,7 @@
   return framed(RecordWriter(kRestated, id).instant(now).number(due).payload());
 }
 
-std::string record::denied(const umberhoist::access::Verdict& verdict) {
+std::string record::denied(const umberhoist::access::Decision& verdict) {
   return framed(RecordWriter(kDenied, "").text(verdict.record).payload());
 }
 
--- a/relay/journal_records.h
+++ b/relay/journal_records.h
@@ -45,7 +45,7 @@
 // A budget taken over from another boot, on the clock of this one; earlier versions skip it.
 std::string restated(const std::string& id, const Instant& now, Time due);
 // Of rules; earlier versions skip both.
-std::string denied(const umberhoist::access::Verdict& verdict);
+std::string denied(const umberhoist::access::Decision& verdict);
 std::string hits(const JournalHits& totals);
 
 }  // namespace record
--- a/relay/message.h
+++ b/relay/message.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "../access/verdict.h"
+#include "../access/decision.h"
 #include "budget.h"
 
 namespace firspool::relay {
@@ -19,7 +19,7 @@
   std::string body;
   std::string tenant;                         // empty if none was named
   std::shared_ptr<const MessageRules> rules;  // null: of a record by an earlier version
-  std::shared_ptr<const umberhoist::access::Verdict> verdict = nullptr;  // null: its customer has no rules
+  std::shared_ptr<const umberhoist::access::Decision> verdict = nullptr;  // null: its customer has no rules
   uint64_t sequence_key = 0;  // messages of classes in order that share one take turns; 0: of no sequence
 };
 
--- a/relay/rules.cpp
+++ b/relay/rules.cpp
@@ -141,8 +141,8 @@
                              std::ranges::any_of(custody_.held(), [](const auto& held) {
                                return held.second.handed.verdict != nullptr;
                              });
-    if (under_rules && !umberhoist::access::names_kept(config_.access.names, next.access.names)) {
-      throw umberhoist::Fault(umberhoist::access::kNamesMoved, "settings.azs and settings.kinds",
+    if (under_rules && !umberhoist::access::names_compatible(config_.access.names, next.access.names)) {
+      throw umberhoist::Fault(umberhoist::access::kNamesReordered, "settings.azs and settings.kinds",
                               "are in another order");
     }
     if (config_.fleet && policy_of(next) != policy_of(config_)) {
--- a/relay/turn.cpp
+++ b/relay/turn.cpp
@@ -45,7 +45,7 @@
   if (now > call.start_by || held->handed.budget.over(now)) return false;
   if (waits_.until(lane_of(host->member)) > now) return false;
   const auto& verdict = held->handed.verdict;
-  if (verdict && !verdict->ways.of(host->member.zone, host->member.kind).allowed) return false;
+  if (verdict && !verdict->routes.of(host->member.zone, host->member.kind).allowed) return false;
   return custody_.sends(*held, call.attempt, host->member.zone);
 }
 
--- a/tests/access_journal_test.cpp
+++ b/tests/access_journal_test.cpp
@@ -1,4 +1,5 @@
-// Hits of customers' rules in the journal: exact whatever is cut off, compacted, taken over or read twice.
+// Hits of customers' rules in the journal: counts stay exact when the file is truncated, compacted, handed
+// over or read twice.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -29,11 +30,12 @@
 };
 
 struct Rules {
-  access::Limits limits;
-  access::Compiled compiled{access::parse_rules(access::testing::settings_with(
-                                {{{"id", "no"}, {"say", "deny"}, {"class", {"status"}}},
-                                 {{"id", "near"}, {"say", "prefer"}, {"to", {"dc1"}}, {"kind", {"card"}}}})),
-                            limits};
+  access::LimitRegistry limits;
+  access::CompiledRules compiled{
+      access::parse_rules(access::testing::settings_with(
+          {{{"id", "no"}, {"say", "deny"}, {"class", {"status"}}},
+           {{"id", "near"}, {"say", "prefer"}, {"to", {"dc1"}}, {"kind", {"card"}}}})),
+      limits};
   Handed message(const std::string& id, const char* message_class = "record",
                  const char* customer = "acme") const {
     Handed out;
@@ -43,60 +45,61 @@
     out.body = "body";
     out.budget = Budget::begin(steady_now(), 60'000'000);
     out.rules = std::make_shared<const MessageRules>();
-    out.verdict = compiled.verdict(customer, message_class, 7, 0);
+    out.verdict = compiled.decide(customer, message_class, 7, 0);
     return out;
   }
-  // Two rules decide one that is taken on, one rule one that is denied.
-  bool take_on(Journal& journal, const std::string& id) const { return journal.accepted(message(id)); }
+  // Two rules decide an accepted message, one rule decides a denied one.
+  bool accept(Journal& journal, const std::string& id) const { return journal.accepted(message(id)); }
   bool deny(Journal& journal) const { return journal.denied(*message("", "status").verdict); }
 };
 
-constexpr size_t kFile = 500'000;
+constexpr size_t kMaxFileBytes = 500'000;
 
-// Hits by a process that died after each prefix of what it wrote.
+// The hits that a process reads from the journal file as it is now.
 uint64_t total_in(const Folder& folder, int number = 0) {
-  return Journal(folder.place(number), kFile).hits().counts().total();
+  return Journal(folder.place(number), kMaxFileBytes).hits().counts().total();
 }
 
-TEST(AccessJournal, CountsWholeRecordsAndNoOthersWhereverTheFileIsCut) {
+TEST(AccessJournal, CountsExactlyTheCompleteRecordsOfATruncatedFile) {
   const Rules rules;
   Folder folder;
-  std::map<size_t, uint64_t> after;  // by size: hits
+  std::map<size_t, uint64_t> hits_at_size;  // hits by file size
   {
-    Journal journal(folder.place(), kFile);
-    const auto now = [&](uint64_t hits) { after[fs::file_size(folder.file())] = hits; };
-    now(0);
-    ASSERT_TRUE(rules.take_on(journal, "a"));
-    now(2);
+    Journal journal(folder.place(), kMaxFileBytes);
+    const auto record_hits = [&](uint64_t hits) { hits_at_size[fs::file_size(folder.file())] = hits; };
+    record_hits(0);
+    ASSERT_TRUE(rules.accept(journal, "a"));
+    record_hits(2);
     ASSERT_TRUE(rules.deny(journal));
-    now(3);
+    record_hits(3);
     ASSERT_TRUE(journal.attempt("a", 0, 1));
     journal.done("a");
-    ASSERT_TRUE(journal.accepted(rules.message("b", "record", "free")));  // without rules
-    now(3);
-    ASSERT_TRUE(rules.take_on(journal, "a"));  // one of the same id, later
-    now(5);
+    ASSERT_TRUE(journal.accepted(rules.message("b", "record", "free")));  // a customer without rules
+    record_hits(3);
+    ASSERT_TRUE(rules.accept(journal, "a"));  // the same id again, after its end
+    record_hits(5);
     ASSERT_TRUE(rules.deny(journal));
-    now(6);
+    record_hits(6);
     EXPECT_EQ(journal.hits().counts().total(), 6u);
-    EXPECT_EQ(
-        journal.hits().counts().of({"acme", "no", rules.message("", "status").verdict->rules[0].digest}), 2u);
+    EXPECT_EQ(journal.hits().counts().count_of(
+                  {"acme", "no", rules.message("", "status").verdict->rules[0].digest}),
+              2u);
   }
   const std::string bytes = read_file(folder.file());
   for (size_t cut = 0; cut <= bytes.size(); ++cut) {
-    Folder torn;
-    torn.put(0, bytes.substr(0, cut));
-    ASSERT_EQ(total_in(torn), std::prev(after.upper_bound(cut))->second) << cut;
+    Folder truncated;
+    truncated.put(0, bytes.substr(0, cut));
+    ASSERT_EQ(total_in(truncated), std::prev(hits_at_size.upper_bound(cut))->second) << cut;
     if (cut % 7 != 0) continue;
-    {  // it goes on behind the cut
-      Journal journal(torn.place(), kFile);
+    {  // appends after the truncated record
+      Journal journal(truncated.place(), kMaxFileBytes);
       ASSERT_TRUE(rules.deny(journal));
     }
-    ASSERT_EQ(total_in(torn), std::prev(after.upper_bound(cut))->second + 1) << cut;
+    ASSERT_EQ(total_in(truncated), std::prev(hits_at_size.upper_bound(cut))->second + 1) << cut;
   }
 }
 
-TEST(AccessJournal, ACompactionKeepsTheCountsAtEachStep) {
+TEST(AccessJournal, CompactionKeepsTheCounts) {
   const Rules rules;
   Folder folder;
   Journal journal(folder.place(), 12'000);
@@ -108,7 +111,7 @@
       ASSERT_TRUE(rules.deny(journal));
       hits += 1;
     } else {
-      ASSERT_TRUE(rules.take_on(journal, id));
+      ASSERT_TRUE(rules.accept(journal, id));
       hits += 2;
     }
     if (i >= 6) journal.done("m" + std::to_string(i - 6));
@@ -121,94 +124,96 @@
   EXPECT_GE(compactions, 2u);
 }
 
-TEST(AccessJournal, WhatCannotBeWrittenIsNotCounted) {
+TEST(AccessJournal, AMessageThatCannotBeWrittenIsNotCounted) {
   const Rules rules;
   Folder folder;
   Journal journal(folder.place(), 2'000);
   uint64_t hits = 0;
-  for (int i = 0; i < 40; ++i) hits += rules.take_on(journal, std::to_string(i)) ? 2 : 0;
+  for (int i = 0; i < 40; ++i) hits += rules.accept(journal, std::to_string(i)) ? 2 : 0;
   EXPECT_GT(hits, 0u);
   EXPECT_LT(hits, 80u);
   EXPECT_EQ(journal.hits().counts().total(), hits);
   journal.limit(100);
   EXPECT_FALSE(rules.deny(journal));
   EXPECT_EQ(journal.hits().counts().total(), hits);
-  Folder shut;
-  fs::create_directory(shut.path / "access.origin");  // the folder's number can be neither read nor written
-  Journal numberless(shut.place(), kFile);
-  EXPECT_FALSE(rules.deny(numberless));
-  EXPECT_FALSE(rules.take_on(numberless, "a"));
-  EXPECT_TRUE(numberless.accepted(rules.message("b", "record", "free")));
-  EXPECT_EQ(numberless.hits().counts().total(), 0u);
+  Folder unusable;
+  fs::create_directory(unusable.path / "access.origin");  // so its folder id can be neither read nor written
+  Journal without_folder_id(unusable.place(), kMaxFileBytes);
+  EXPECT_FALSE(rules.deny(without_folder_id));
+  EXPECT_FALSE(rules.accept(without_folder_id, "a"));
+  EXPECT_TRUE(without_folder_id.accepted(rules.message("b", "record", "free")));
+  EXPECT_EQ(without_folder_id.hits().counts().total(), 0u);
 }
 
-// The predecessor dies; its successor adds what it counted, and dies between any two bytes of that.
-TEST(AccessJournal, ADeadPredecessorsCountsAreAddedOnceWhereverTheSuccessorDies) {
+// The predecessor dies, and its successor adds the predecessor's counts. The successor may die after any byte
+// that it writes; no hit may be lost or counted twice then.
+TEST(AccessJournal, APredecessorsCountsAreAddedOnceEvenIfTheSuccessorDies) {
   const Rules rules;
   Folder folder;
   uint64_t before = 0;
-  std::map<size_t, uint64_t> after;
+  std::map<size_t, uint64_t> hits_at_size;
   {
-    Journal old(folder.place(0), kFile), fresh(folder.place(1), kFile);
-    ASSERT_TRUE(rules.take_on(old, "a"));
-    ASSERT_TRUE(rules.take_on(old, "b"));
-    ASSERT_TRUE(rules.deny(old));
-    const auto now = [&](uint64_t hits) { after[fs::file_size(folder.file(1))] = hits; };
-    now(0);
-    ASSERT_TRUE(rules.deny(fresh));
-    now(1);
-    // Handed over while both run: it was counted already.
-    ASSERT_EQ(fresh.adopt(old.records("a")).taken.size(), 1u);
-    EXPECT_EQ(fresh.hits().counts().total(), 1u);
-    old.done("a");
-    ASSERT_TRUE(rules.take_on(old, "c"));  // at the predecessor's door, late
-    before = old.hits().counts().total();
-    EXPECT_EQ(fresh.hits().folder(), old.hits().folder());
-    ASSERT_EQ(fresh.adopt(read_file(folder.file(0)), {"a"}).taken.size(), 2u);
-    EXPECT_EQ(fresh.hits().counts().total(), 1 + before);
-    (void)fresh.adopt(read_file(folder.file(0)), {"a"});
-    EXPECT_EQ(fresh.hits().counts().total(), 1 + before) << "read twice";
+    Journal predecessor(folder.place(0), kMaxFileBytes), successor(folder.place(1), kMaxFileBytes);
+    ASSERT_TRUE(rules.accept(predecessor, "a"));
+    ASSERT_TRUE(rules.accept(predecessor, "b"));
+    ASSERT_TRUE(rules.deny(predecessor));
+    const auto record_hits = [&](uint64_t hits) { hits_at_size[fs::file_size(folder.file(1))] = hits; };
+    record_hits(0);
+    ASSERT_TRUE(rules.deny(successor));
+    record_hits(1);
+    // Handed over while both run: the predecessor counted it.
+    ASSERT_EQ(successor.adopt(predecessor.records("a")).taken.size(), 1u);
+    EXPECT_EQ(successor.hits().counts().total(), 1u);
+    predecessor.done("a");
+    ASSERT_TRUE(rules.accept(predecessor, "c"));  // accepted by the predecessor after the handover began
+    before = predecessor.hits().counts().total();
+    EXPECT_EQ(successor.hits().folder(), predecessor.hits().folder());
+    ASSERT_EQ(successor.adopt(read_file(folder.file(0)), {"a"}).taken.size(), 2u);
+    EXPECT_EQ(successor.hits().counts().total(), 1 + before);
+    (void)successor.adopt(read_file(folder.file(0)), {"a"});
+    EXPECT_EQ(successor.hits().counts().total(), 1 + before) << "read twice";
   }
-  const std::string left = read_file(folder.file(0)), bytes = read_file(folder.file(1));
+  const std::string predecessor_bytes = read_file(folder.file(0)), bytes = read_file(folder.file(1));
   for (size_t cut = 0; cut <= bytes.size(); ++cut) {
-    // Started anew, with the left file still there: it goes on with the one journal, or with the other.
-    const uint64_t own = std::prev(after.upper_bound(cut))->second;
+    // A new process starts while both files exist, and continues with either of them.
+    const uint64_t own = std::prev(hits_at_size.upper_bound(cut))->second;
     for (const int first : {1, 0}) {
-      Folder torn;
-      fs::copy_file(folder.path / "access.origin", torn.path / "access.origin");
-      torn.put(0, left);
-      torn.put(1, bytes.substr(0, cut));
+      Folder truncated;
+      fs::copy_file(folder.path / "access.origin", truncated.path / "access.origin");
+      truncated.put(0, predecessor_bytes);
+      truncated.put(1, bytes.substr(0, cut));
       {
-        Journal journal(torn.place(first), kFile);
-        (void)journal.adopt(read_file(torn.file(1 - first)));
+        Journal journal(truncated.place(first), kMaxFileBytes);
+        (void)journal.adopt(read_file(truncated.file(1 - first)));
         ASSERT_EQ(journal.hits().counts().total(), own + before) << cut << " " << first;
       }
-      fs::remove(torn.file(1 - first));
-      ASSERT_EQ(total_in(torn, first), own + before) << cut << " " << first;
+      fs::remove(truncated.file(1 - first));
+      ASSERT_EQ(total_in(truncated, first), own + before) << cut << " " << first;
     }
   }
 }
 
-// A successor is lost: what it wrote comes back, with records that this file counted itself.
-TEST(AccessJournal, AMessageThatComesBackIsNotCountedAgain) {
+// The successor is lost, and the predecessor reads its file back: it holds a message that the predecessor
+// counted.
+TEST(AccessJournal, AMessageHandedBackIsNotCountedAgain) {
   const Rules rules;
   Folder folder;
   {
-    Journal old(folder.place(0), kFile), fresh(folder.place(1), kFile);
-    ASSERT_TRUE(rules.take_on(old, "a"));
-    ASSERT_EQ(fresh.adopt(old.records("a")).taken.size(), 1u);
-    old.done("a");
-    const auto back = old.adopt(read_file(folder.file(1))).taken;
+    Journal predecessor(folder.place(0), kMaxFileBytes), successor(folder.place(1), kMaxFileBytes);
+    ASSERT_TRUE(rules.accept(predecessor, "a"));
+    ASSERT_EQ(successor.adopt(predecessor.records("a")).taken.size(), 1u);
+    predecessor.done("a");
+    const auto back = predecessor.adopt(read_file(folder.file(1))).taken;
     ASSERT_EQ(back.size(), 1u);
     EXPECT_EQ(back[0].verdict, rules.message("a").verdict->record);
-    EXPECT_EQ(old.hits().counts().total(), 2u);
+    EXPECT_EQ(predecessor.hits().counts().total(), 2u);
   }
   EXPECT_EQ(total_in(folder), 2u);
-  Journal again(folder.place(0), kFile);
-  ASSERT_EQ(again.recovered().size(), 1u);
+  Journal restarted(folder.place(0), kMaxFileBytes);
+  ASSERT_EQ(restarted.recovered().size(), 1u);
 }
 
-TEST(AccessJournal, WithoutRulesNotAByteDiffers) {
+TEST(AccessJournal, RecordsOfCustomersWithoutRulesAreUnchanged) {
   const Rules rules;
   Folder folder;
   const Handed plain = rules.message("a", "record", "free");
@@ -216,7 +221,7 @@
   const Instant now = instant_now();
   EXPECT_EQ(record::accepted(plain, now, 0), record::accepted(plain, now, 77));
   {
-    Journal journal(folder.place(), kFile, [&] { return now; });
+    Journal journal(folder.place(), kMaxFileBytes, [&] { return now; });
     ASSERT_TRUE(journal.accepted(plain));
   }
   EXPECT_EQ(read_file(folder.file()), record::accepted(plain, now, 0));
--- a/tests/access_program_test.cpp
+++ b/tests/access_program_test.cpp
@@ -1,4 +1,4 @@
-// Customers' rules in the program as a whole.
+// Customers' rules in the whole program: a real relay process between clients and endpoints.
 #include <csignal>
 #include <filesystem>
 #include <fstream>
@@ -15,7 +15,8 @@
   return "c=" + message_class + ",t=" + customer + ",d=60000,k=5c0f6e1a2b3d4c59,dest=7";
 }
 
-struct Regions {  // two, each with an endpoint of one destination
+// Two regions, each with an endpoint of the same destination.
+struct Regions {
   Host near, far;
   Discovery discovery;
   json config;
@@ -32,7 +33,7 @@
         {{"name", "acme"}, {"access", {{"default", otherwise}, {"rules", std::move(list)}}}},
         {{"name", "free"}}};
   }
-  std::vector<std::string> asked(const std::string& call) const {
+  std::vector<std::string> operator_call(const std::string& call) const {
     Socket caller = Socket::connect(config["operator"].get<std::string>());
     caller.send(call + "\n");
     std::vector<std::string> out;
@@ -40,9 +41,9 @@
       out.push_back(line);
     return out;
   }
-  // "own fleet" of a rule in force.
+  // The start of the ACCESS HITS line of a rule in force: "rule own=N fleet=N".
   std::string hits(const std::string& id) const {
-    for (const std::string& line : asked("ACCESS HITS")) {
+    for (const std::string& line : operator_call("ACCESS HITS")) {
       if (line.find(" id=" + id + " ") == std::string::npos || line.find(" in_force=1 ") == std::string::npos)
         continue;
       return line.substr(0, line.find(" id="));
@@ -51,66 +52,68 @@
   }
 };
 
-std::string put(const Program& program, const std::string& id, const std::string& what) {
+std::string put(const Program& program, const std::string& id, const std::string& message_facts) {
   Socket client = program.client();
-  client.send(put_bytes(id, what));
+  client.send(put_bytes(id, message_facts));
   return client.line();
 }
 
-TEST(AccessProgram, DeniesSendsOnlyWhereItMayAndCountsOverKillAndChange) {
-  Regions s;
-  s.rules({{{"id", "no-status"}, {"say", "deny"}, {"class", {"unsafe"}}},
-           {{"id", "stay-out"}, {"say", "deny"}, {"to", {"a"}}},
-           {{"id", "slow"}, {"say", "limit"}, {"per_s", 1000}, {"class", {"safe"}}}});
-  Program program(s.config);
+TEST(AccessProgram, DecisionsAndHitsSurviveAKillAndAPolicyChange) {
+  Regions regions;
+  regions.rules({{{"id", "no-status"}, {"say", "deny"}, {"class", {"unsafe"}}},
+                 {{"id", "stay-out"}, {"say", "deny"}, {"to", {"a"}}},
+                 {{"id", "slow"}, {"say", "limit"}, {"per_s", 1000}, {"class", {"safe"}}}});
+  Program program(regions.config);
   program.start();
   EXPECT_EQ(put(program, "00000000000000a1", facts("acme", "unsafe")), "-DENIED no-status");
   EXPECT_EQ(put(program, "00000000000000a1", facts("acme", "unsafe")), "-DENIED no-status");
   EXPECT_EQ(put(program, "00000000000000a2", facts("acme", "safe")), "+OK");
-  EXPECT_EQ(s.far.next().headers.at("x-call-id"), "00000000000000a2");  // not the near one
-  EXPECT_EQ(s.hits("no-status"), "rule own=2 fleet=2");
-  EXPECT_EQ(s.hits("stay-out"), "rule own=1 fleet=1");
-  EXPECT_EQ(s.hits("slow"), "rule own=1 fleet=1");
-  EXPECT_EQ(s.hits("default"), "rule own=0 fleet=0");
+  EXPECT_EQ(regions.far.next().headers.at("x-call-id"),
+            "00000000000000a2");  // not the endpoint in the same region
+  EXPECT_EQ(regions.hits("no-status"), "rule own=2 fleet=2");
+  EXPECT_EQ(regions.hits("stay-out"), "rule own=1 fleet=1");
+  EXPECT_EQ(regions.hits("slow"), "rule own=1 fleet=1");
+  EXPECT_EQ(regions.hits("default"), "rule own=0 fleet=0");
 
-  // Killed with a message out, under a limit that is no more, that the rules of the next version would let go
-  // anywhere, or nowhere.
+  // Killed with a call in flight. The next policy version has no limit any more, and forbids the region that
+  // the message was sent to.
   program.kill();
-  s.far.drop();
-  s.rules({{{"id", "stay-out"}, {"say", "deny"}, {"to", {"b"}}}});
-  program.configure(s.config);
-  Program again(s.config);
-  again.share(program);
-  again.start();
-  EXPECT_EQ(s.far.next().headers.at("x-call-id"), "00000000000000a2");  // by the rules that it came under
-  s.far.answer("200");
-  EXPECT_EQ(put(again, "00000000000000a3", facts("acme", "unsafe")), "+OK");
-  EXPECT_EQ(s.near.next().headers.at("x-call-id"), "00000000000000a3");
-  s.near.answer("200");
-  EXPECT_EQ(s.hits("stay-out"), "rule own=1 fleet=1");  // another rule by its digest
+  regions.far.drop();
+  regions.rules({{{"id", "stay-out"}, {"say", "deny"}, {"to", {"b"}}}});
+  program.configure(regions.config);
+  Program restarted(regions.config);
+  restarted.share(program);
+  restarted.start();
+  EXPECT_EQ(regions.far.next().headers.at("x-call-id"),
+            "00000000000000a2");  // by the rules of its acceptance
+  regions.far.answer("200");
+  EXPECT_EQ(put(restarted, "00000000000000a3", facts("acme", "unsafe")), "+OK");
+  EXPECT_EQ(regions.near.next().headers.at("x-call-id"), "00000000000000a3");
+  regions.near.answer("200");
+  EXPECT_EQ(regions.hits("stay-out"), "rule own=1 fleet=1");  // another digest, so another rule
   int older = 0;
-  for (const std::string& line : s.asked("ACCESS HITS acme"))
+  for (const std::string& line : regions.operator_call("ACCESS HITS acme"))
     older += line.find(" in_force=0 ") != std::string::npos;
   EXPECT_EQ(older, 3);
-  // A customer without rules goes the near way, as before.
-  EXPECT_EQ(put(again, "00000000000000a4", facts("free", "unsafe")), "+OK");
-  EXPECT_EQ(s.near.next().headers.at("x-call-id"), "00000000000000a4");
+  // Messages of a customer without rules still prefer their own region.
+  EXPECT_EQ(put(restarted, "00000000000000a4", facts("free", "unsafe")), "+OK");
+  EXPECT_EQ(regions.near.next().headers.at("x-call-id"), "00000000000000a4");
 }
 
-TEST(AccessProgram, AListThatCannotBeIsTurnedDownWholeWithTheLineOfCheck) {
-  Regions s;
-  s.rules({{{"id", "x"}, {"say", "deny"}, {"to", {"a"}}}});
-  Program program(s.config);
+TEST(AccessProgram, InvalidRulesOrReorderedNamesFailTheReloadAndKeepTheOldRules) {
+  Regions regions;
+  regions.rules({{{"id", "x"}, {"say", "deny"}, {"to", {"a"}}}});
+  Program program(regions.config);
   program.start();
-  json bad = s.config;
+  json bad = regions.config;
   bad["settings"]["realms"][0]["access"]["rules"][0]["to"] = {"nowhere"};
   program.configure(bad);
   program.signal(SIGHUP);
-  json moved = s.config;
+  json moved = regions.config;
   moved["settings"]["azs"] = {"b", "a"};
   const auto failed = [&](const std::string& count) {
     for (int left = 500; left > 0; --left) {
-      for (const std::string& line : s.asked("METRICS")) {
+      for (const std::string& line : regions.operator_call("METRICS")) {
         if (line == "svc_reloads_failed_total " + count) return true;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -121,33 +124,35 @@
   program.configure(moved);
   program.signal(SIGHUP);
   EXPECT_TRUE(failed("2"));
-  EXPECT_EQ(s.asked("ACCESS RULES").at(2), "  x: deny to=a");
+  EXPECT_EQ(regions.operator_call("ACCESS RULES").at(2), "  x: deny to=a");
 }
 
-// The first rules come by SIGHUP, and what was known of other relays' hits cannot be read.
-TEST(AccessProgram, RulesThatComeWhileAFileCannotBeReadEndNothing) {
-  Regions s;
-  json plain = s.config;
+// The first rules arrive by SIGHUP while the stored hit counts of other relays cannot be read. The relay must
+// still apply the rules and count.
+TEST(AccessProgram, RulesApplyWhileTheStoredHitCountsAreUnreadable) {
+  Regions regions;
+  json plain = regions.config;
   plain["settings"]["realms"] = {{{"name", "acme"}}, {{"name", "free"}}};
   Program program(plain);
   program.start();
   fs::create_directory(program.state() / "access.parts");
-  s.rules({{{"id", "no-status"}, {"say", "deny"}, {"class", {"unsafe"}}}});
-  program.configure(s.config);
+  regions.rules({{{"id", "no-status"}, {"say", "deny"}, {"class", {"unsafe"}}}});
+  program.configure(regions.config);
   program.signal(SIGHUP);
-  EXPECT_TRUE(becomes(s.config["operator"], "svc_reloads_ok_total", "1"));
+  EXPECT_TRUE(becomes(regions.config["operator"], "svc_reloads_ok_total", "1"));
   EXPECT_EQ(put(program, "00000000000000a1", facts("acme", "unsafe")), "-DENIED no-status");
-  EXPECT_EQ(s.hits("no-status"), "rule own=1 fleet=1");
+  EXPECT_EQ(regions.hits("no-status"), "rule own=1 fleet=1");
 }
 
-TEST(AccessProgram, WithoutRulesNoFileAndNoCallIsThere) {
-  Regions s;
-  s.config["settings"]["realms"] = {{{"name", "acme"}}, {{"name", "free"}}};
-  Program program(s.config);
+TEST(AccessProgram, WithoutRulesThereAreNoFilesCallsOrMetrics) {
+  Regions regions;
+  regions.config["settings"]["realms"] = {{{"name", "acme"}}, {{"name", "free"}}};
+  Program program(regions.config);
   program.start();
   EXPECT_EQ(put(program, "00000000000000a1", facts("acme", "safe")), "+OK");
-  EXPECT_EQ(s.asked("ACCESS HITS").at(0), "ERR unknown call");
-  for (const std::string& line : s.asked("METRICS")) EXPECT_FALSE(line.starts_with("access_")) << line;
+  EXPECT_EQ(regions.operator_call("ACCESS HITS").at(0), "ERR unknown call");
+  for (const std::string& line : regions.operator_call("METRICS"))
+    EXPECT_FALSE(line.starts_with("access_")) << line;
   for (const auto& entry : fs::directory_iterator(program.state())) {
     EXPECT_FALSE(entry.path().filename().string().starts_with("access")) << entry.path();
   }
--- a/tests/access_rules_test.cpp
+++ b/tests/access_rules_test.cpp
@@ -1,4 +1,4 @@
-// Customers' rules: what is turned down, and by what line.
+// Validation of customers' rules: which rules are rejected, with which error.
 #include "access_rules.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   }
 }
 
-TEST(AccessRules, WhatCannotBeIsTurnedDownByKind) {
+TEST(AccessRules, RejectsInvalidRulesWithTheirErrorCode) {
   const auto one = [](json more) { return code_of(settings_with({rule(std::move(more))})); };
   EXPECT_EQ(one({{"class", {"record"}}}), "");
   EXPECT_EQ(one({{"class", {"nosuch"}}}), "rules_unknown_name");
@@ -46,7 +46,7 @@
   EXPECT_EQ(code_of(settings_with({rule({}), rule({})})), "rules_id_twice");
   EXPECT_EQ(code_of(settings_with(json::array(), "maybe")), "rules_malformed");
   json many = json::array();
-  for (size_t i = 0; i <= kMostRules; ++i) many.push_back(rule({{"id", "r" + std::to_string(i)}}));
+  for (size_t i = 0; i <= kMaxRules; ++i) many.push_back(rule({{"id", "r" + std::to_string(i)}}));
   EXPECT_EQ(code_of(settings_with(many)), "rules_too_many");
   json settings = settings_with(json::array());
   settings["realms"][1]["name"] = "acme";
@@ -56,7 +56,7 @@
   EXPECT_EQ(code_of(settings), "rules_no_region");
 }
 
-TEST(AccessRules, AFaultNamesKeyAndRule) {
+TEST(AccessRules, AnErrorNamesKeyAndRule) {
   const json rules = {rule({{"to", {"dc1"}}}), rule({{"id", "y"}, {"partner", {4}}, {"to", {"dc1"}}})};
   try {
     (void)parse_rules(settings_with(rules));
@@ -68,16 +68,16 @@
   }
 }
 
-// Over small lists each message can be tried, so the answer is known.
+// Lists this small can be checked by brute force over all messages.
 TEST(AccessRules, ShadowedRulesAreThoseThatNoMessageReaches) {
-  int together = 0;
+  int covered_by_several = 0;
   for (unsigned seed = 1; seed <= 1500; ++seed) {
     std::mt19937 random(seed);
     json rules = json::array();
     for (int i = 0; i < 7; ++i) rules.push_back(random_rule(random, i));
     std::set<size_t> reached;
-    each_way([&](const char* c, int partner, int from, int to, int kind) {
-      reached.insert(walk(rules, c, partner, kKinds[kind], kZones[from], kZones[to]));
+    for_each_route([&](const char* c, int partner, int from, int to, int kind) {
+      reached.insert(first_matching_rule(rules, c, partner, kKinds[kind], kZones[from], kZones[to]));
     });
     size_t first = 0;
     while (first < rules.size() && reached.contains(first)) ++first;
@@ -87,7 +87,7 @@
     } catch (const Fault& fault) {
       ASSERT_STREQ(fault.code(), "rules_shadowed");
       where = fault.where();
-      together += fault.happened().find("together") != std::string::npos;
+      covered_by_several += fault.happened().find("together") != std::string::npos;
     }
     const std::string expected =
         first == rules.size()
@@ -95,7 +95,7 @@
             : "settings.realms.0.access.rules." + std::to_string(first) + " (r" + std::to_string(first) + ")";
     ASSERT_EQ(where, expected) << "seed " << seed << " " << rules.dump();
   }
-  EXPECT_GT(together, 10);
+  EXPECT_GT(covered_by_several, 10);
 }
 
 TEST(AccessRules, EqualRulesHaveEqualDigestsWhateverTheirOrder) {
--- a/tests/feeds_relay_test.cpp
+++ b/tests/feeds_relay_test.cpp
@@ -162,7 +162,7 @@
   expect(feeds::kCursorFaults);
   expect(feeds::kFeedFaults);
   expect(kFeedSettingsFaults);
-  expect(umberhoist::access::kAccessFaults);
+  expect(umberhoist::access::kAccessErrors);
   expect(kDiskFaults);
   expect(kAddressFaults);
 }
