--- a/access/rules.cpp
+++ b/access/rules.cpp
@@ -170,7 +170,7 @@
     const std::string key = where + ".rules." + std::to_string(out.rules.size());
     out.rules.push_back(parse_rule(rule, key, known));
     if (!ids.insert(out.rules.back().id).second)
-      throw Fault(kDuplicateId, key, "repeats the id " + out.rules.back().id);
+      throw Fault(kDuplicateId, key, "repeats the id " + out.rules.back().id + " of an earlier rule");
   }
   out.rules.push_back(std::move(last));
   return out;
