--- a/relay/custody.cpp
+++ b/relay/custody.cpp
@@ -92,7 +92,7 @@
   in.holds_order = true;
   in.due = handed.budget.due();
   in.destination = handed.destination;
-  in.routes = umberhoist::access::ways_of(handed.verdict);
+  in.routes = umberhoist::access::routes_of(handed.verdict);
   in.storage_available = journal_.has_room(handed);
   numbers_[handed.id] = number;
   held_[number] = {std::move(handed), 0, false, false, Stage::kQueue, steady_now()};
--- a/relay/custody_resume.cpp
+++ b/relay/custody_resume.cpp
@@ -35,7 +35,7 @@
     in.holds_order = true;
     in.due = held.handed.budget.due();
     in.destination = entry.message.destination;
-    in.routes = umberhoist::access::ways_of(held.handed.verdict);
+    in.routes = umberhoist::access::routes_of(held.handed.verdict);
     in.resumed = true;
     in.attempts = entry.attempts;
     in.needs_backoff = pause;
