--- a/access/hit_message.h
+++ b/access/hit_message.h
@@ -1,4 +1,4 @@
-// Messages between the hit replicators of two relays, in CBOR. decode() throws fleet::Bad if one is
+// Messages between the hit replicators of two relays, in CBOR. decode() throws fleet::DecodeError if one is
 // malformed.
 #pragma once
 
--- a/access/hits.h
+++ b/access/hits.h
@@ -64,7 +64,7 @@
     return total_ == other.total_ && by_rule_ == other.by_rule_;
   }
 
-  // CBOR. decode() throws fleet::Bad if the bytes are malformed.
+  // CBOR. decode() throws fleet::DecodeError if the bytes are malformed.
   std::string encode() const;
   static HitCounts decode(std::string_view bytes);
 
--- a/access/limit_registry.h
+++ b/access/limit_registry.h
@@ -1,6 +1,6 @@
-// Ids of the rate limits that rules set, by which route tables and grants refer to a limit (firspool/ways.h).
-// Each budget has one id. It stays the same in each policy version, and is reused only when no rule in force
-// and no message refers to it any more.
+// Ids of the rate limits that rules set, by which route tables and grants refer to a limit
+// (firspool/route_table.h). Each budget has one id. It stays the same in each policy version, and is reused
+// only when no rule in force and no message refers to it any more.
 //
 // The rate of a limit is the one of the rule in force. Without such a rule it is the lowest rate in the
 // records of the messages that came under the limit.
--- a/access/rules.h
+++ b/access/rules.h
@@ -1,11 +1,11 @@
 // Customers' access rules: parses them from the policy (settings.realms[].access; docs/access.md describes
 // the format) and validates them.
 //
-// Invalid rules are rejected as a whole, before anything is sent, by a Fault whose `where` is the key and the
-// rule's id. A rule that no message can reach is invalid too. It is always detected if a single earlier rule
-// covers it, and if several do together within a fixed amount of work (docs/access.md). A reachable rule is
-// never rejected. Equal rules have equal digests in each process and build; the order of keys and of entries
-// in lists does not matter.
+// Invalid rules are rejected as a whole, before anything is sent, by an OperatorError whose `where` is the
+// key and the rule's id. A rule that no message can reach is invalid too. It is always detected if a single
+// earlier rule covers it, and if several do together within a fixed amount of work (docs/access.md). A
+// reachable rule is never rejected. Equal rules have equal digests in each process and build; the order of
+// keys and of entries in lists does not matter.
 #pragma once
 
 #include <cstdint>
@@ -87,7 +87,7 @@
   bool empty() const { return customers.empty(); }
 };
 
-// `settings` must have well-formed names (categories, kinds, azs); realms are optional. Throws Fault.
+// `settings` must have well-formed names (categories, kinds, azs); realms are optional. Throws OperatorError.
 Rules parse_rules(const nlohmann::json& settings);
 
 // Lines for operators: each customer, its default and its rules.
--- a/feeds/messages.h
+++ b/feeds/messages.h
@@ -91,10 +91,10 @@
 using Message = std::variant<Promise, Write, Said, Pull, Page, Ask, Have>;
 
 std::string encode(const Message& message);
-Message decode(std::string_view bytes);  // throws fleet::Bad
+Message decode(std::string_view bytes);  // throws fleet::DecodeError
 
 // As a register's file has it, too.
 nlohmann::json json_of(const Held& held);
-Held held_in(const nlohmann::json& value);  // throws fleet::Bad
+Held held_in(const nlohmann::json& value);  // throws fleet::DecodeError
 
 }  // namespace umberhoist::feeds
--- a/feeds/outcome.h
+++ b/feeds/outcome.h
@@ -27,6 +27,6 @@
 
 // As CBOR, in logs, in the journal's record that ends a message, and between relays.
 nlohmann::json json_of(const Outcome& outcome);
-Outcome outcome_in(const nlohmann::json& value);  // throws fleet::Bad
+Outcome outcome_in(const nlohmann::json& value);  // throws fleet::DecodeError
 
 }  // namespace umberhoist::feeds
--- a/feeds/outcome_log.cpp
+++ b/feeds/outcome_log.cpp
@@ -103,7 +103,7 @@
   }
 }
 
-// Records behind a head. Throws Bad.
+// Records behind a head. Throws DecodeError.
 void OutcomeLog::take(const std::vector<std::string>& bodies, int64_t& oldest, int64_t& newest) {
   size_t offset = kFrame + bodies.front().size();
   for (size_t i = 1; i < bodies.size(); ++i) {
--- a/feeds/positions_codec.h
+++ b/feeds/positions_codec.h
@@ -7,6 +7,6 @@
 namespace umberhoist::feeds {
 
 nlohmann::json json_of(const Positions& positions);
-Positions positions_in(const nlohmann::json& value);  // throws fleet::Bad; at most kMostOrigins
+Positions positions_in(const nlohmann::json& value);  // throws fleet::DecodeError; at most kMostOrigins
 
 }  // namespace umberhoist::feeds
--- a/feeds/service.cpp
+++ b/feeds/service.cpp
@@ -14,9 +14,7 @@
   return out;
 }
 
-OperatorError fenced(const Feed& feed) {
-  return OperatorError(kFenced, text_of(feed), "was opened anew since");
-}
+OperatorError fenced(const Feed& f) { return OperatorError(kFenced, text_of(f), "was opened anew since"); }
 
 }  // namespace
 
@@ -65,19 +63,17 @@
     return fail(answer, fault);
   }
   const uint64_t number = chance_();
-  Session session({settings_.voters}, feed, number, generation);
-  session.open(now);
-  Serving serving{
-      std::move(session), std::move(shown), collect(now, feed, 0, {}), {}, {}, {}, std::move(answer), now};
-  for (auto& [to, bytes] : serving.holdings->asks()) send(to, std::move(bytes));
-  sessions_.emplace(number, std::move(serving));
+  Session s({settings_.voters}, feed, number, generation);
+  s.open(now);
+  Serving item{std::move(s), std::move(shown), collect(now, feed, 0, {}), {}, {}, {}, std::move(answer), now};
+  for (auto& [to, bytes] : item.holdings->asks()) send(to, std::move(bytes));
+  sessions_.emplace(number, std::move(item));
   advance(now);
 }
 
 // One that nobody has used for long gives way.
 void Service::make_room(Time now) {
-  std::erase_if(sessions_,
-                [&](const auto& entry) { return !entry.second.answer && now - entry.second.used > kIdle; });
+  std::erase_if(sessions_, [&](const auto& s) { return !s.second.answer && now - s.second.used > kIdle; });
   if (sessions_.size() < kMostSessions) return;
   throw OperatorError(kBusy, "relay " + settings_.name,
                       "serves " + std::to_string(sessions_.size()) + " sessions");
--- a/fleet/agreement_messages.h
+++ b/fleet/agreement_messages.h
@@ -1,7 +1,7 @@
 // Messages of the policy agreement: the bootstrap, a relay's lease renewal and the leader's grant. Each is
 // encoded and decoded in one place with its fields in the same order; new fields are appended to both.
 //
-// Errors: the decoding functions throw Bad where a field is missing or exceeds its bound.
+// Errors: the decoding functions throw DecodeError where a field is missing or exceeds its bound.
 #pragma once
 
 #include <deque>
--- a/fleet/agreement_settings.h
+++ b/fleet/agreement_settings.h
@@ -31,8 +31,8 @@
   // Returns why a policy is not supported here; empty if it is. Must depend on its argument and on the
   // program only.
   std::function<std::string(const std::string& text)> check_policy;
-  LeasePiggyback* piggyback =
-      nullptr;  // data carried with renewals and grants; outlives the agreement; null: none
+  // Data carried with renewals and grants; outlives the agreement; null: none.
+  LeasePiggyback* piggyback = nullptr;
   AgreementInjectedFault injected_fault = AgreementInjectedFault::kNone;
 };
 
--- a/fleet/budget_wire.h
+++ b/fleet/budget_wire.h
@@ -4,11 +4,11 @@
 //
 // Both are sent as deltas. DemandReport: each update of a budget has a version, which only grows within one
 // incarnation of a holder; a message holds the updates after `base_version`, and `version` is that of its
-// last one. Base 0 is a full report of all budgets with demand. ShareTable: versions only grow within
-// one leader term; a message turns table `base_version`, which the relay has confirmed, into table `version`.
+// last one. Base 0 is a full report of all budgets with demand. ShareTable: versions only grow within one
+// leader term; a message turns table `base_version`, which the relay has confirmed, into table `version`.
 //
-// Limits: kMaxBudgetsPerMessage budgets and kMaxBudgetMessageBytes bytes a message. Decoding throws Bad if a
-// message is malformed.
+// Limits: kMaxBudgetsPerMessage budgets and kMaxBudgetMessageBytes bytes a message. Decoding throws
+// DecodeError if a message is malformed.
 #pragma once
 
 #include <cstdint>
--- a/fleet/consensus.cpp
+++ b/fleet/consensus.cpp
@@ -100,12 +100,12 @@
   return out;
 }
 
-void Consensus::on_message(Time now, const json& from) {
+void Consensus::on_message(Time now, const json& message) {
   now_ = std::max(now_, now);
   if (!failure_.empty() || !started_) return;
-  if (decode_uint(at(from, 3)) != settings_.id) return;  // to an earlier server of this name
+  if (decode_uint(at(message, 3)) != settings_.id) return;  // to an earlier server of this name
   std::string address;
-  raft_message m = decode_message(from, address);
+  raft_message m = decode_message(message, address);
   recv_(&io_, &m);
   run_deferred();
 }
--- a/fleet/consensus.h
+++ b/fleet/consensus.h
@@ -8,8 +8,8 @@
 // host's state is that of restore(), or empty, followed by the later commands.
 //
 // Bounds: after `snapshot_threshold` entries a snapshot of the host's state replaces the log, of which the
-// last `snapshot_trailing` entries are kept. Errors: a malformed record throws Bad; a failure of C-Raft stops
-// this server until the object is created anew (failure() says why).
+// last `snapshot_trailing` entries are kept. Errors: a malformed record throws DecodeError; a failure of
+// C-Raft stops this server until the object is created anew (failure() says why).
 #pragma once
 
 extern "C" {
--- a/fleet/leadership.cpp
+++ b/fleet/leadership.cpp
@@ -96,16 +96,16 @@
   return p;
 }
 
-Time Leadership::lease_duration_for(Time now, const LeaseHolder& p, const LeaseRenewal& r) const {
+Time Leadership::lease_duration_for(Time now, const LeaseHolder& relay, const LeaseRenewal& renewal) const {
   const auto since = majority_confirmed_at(now);
   const Time lease = since ? settings_.lease_duration - (now - *since) : 0;
   // A relay that does not answer a change gets no further lease, so that it cannot delay the change for long.
-  const bool unanswered = policy_log_.change() && p.accepted_change_id != p.sent_change_id &&
-                          p.rejected_change_id != p.sent_change_id &&
-                          now - p.change_sent_at > settings_.lease_duration;
-  const bool excluded = !deciding_change_id_.empty() && p.accepted_change_id != deciding_change_id_;
-  const bool eligible =
-      policy_log_.version() > 0 && !r.leaving && r.unsupported_reason.empty() && !unanswered && !excluded;
+  const bool unanswered = policy_log_.change() && relay.accepted_change_id != relay.sent_change_id &&
+                          relay.rejected_change_id != relay.sent_change_id &&
+                          now - relay.change_sent_at > settings_.lease_duration;
+  const bool excluded = !deciding_change_id_.empty() && relay.accepted_change_id != deciding_change_id_;
+  const bool eligible = policy_log_.version() > 0 && !renewal.leaving && renewal.unsupported_reason.empty() &&
+                        !unanswered && !excluded;
   return eligible ? std::max<Time>(0, lease) : 0;
 }
 
--- a/fleet/leadership.h
+++ b/fleet/leadership.h
@@ -25,7 +25,8 @@
   bool is_active() const;
   // Does whatever is due at this time and state of the log; called after each event.
   void advance(Time now);
-  // Only while it is active. The caller sets the grant's bootstrap_id. Throws Bad on a malformed request.
+  // Only while it is active. The caller sets the grant's bootstrap_id. Throws DecodeError on a malformed
+  // request.
   LeaseGrant handle_renewal(Time now, const LeaseRenewal& renewal);
   // Called before the settings change.
   void configure(Time now, const std::vector<std::string>& relays);
--- a/fleet/membership.cpp
+++ b/fleet/membership.cpp
@@ -486,8 +486,8 @@
   apply_update(now, packet.sender);
   const Record& r = record(sender_index);
   std::vector<Update> priority;
-  // A sender that is suspect, dead or left here, or recorded with another incarnation or start, is told so
-  // first and can refute it. Updates from a sender that is dead or left here are ignored.
+  // A sender that is suspect, dead or left here, or recorded with another incarnation or start, is first sent
+  // that record and can refute it. Updates from a sender that is dead or left here are ignored.
   const bool outdated = packet.sender.incarnation < r.incarnation || packet.sender.started_ms != r.started_ms;
   if (r.state != State::kAlive || outdated) priority.push_back(update_of(sender_index));
   const bool considered_alive = is_alive(r.state);
@@ -574,7 +574,7 @@
     probe_queue_.pop_back();
     const uint64_t sequence_number = ++last_sequence_number_;
     probe_ = Probe{target, sequence_number, now + settings_.period / 3, next_period_, received_count_, false};
-    // A suspect is told of the suspicion in the ping, so that it can refute it.
+    // The ping reports the suspicion to a suspect, so that it can refute it.
     std::vector<Update> priority;
     if (settings_.lifeguard && records_[target].state == State::kSuspect)
       priority.push_back(update_of(target));
--- a/fleet/membership.h
+++ b/fleet/membership.h
@@ -4,7 +4,7 @@
 // The protocol is SWIM (Das, Gupta, Motivala, 2002: ping, indirect ping, suspicion, refutation by a higher
 // incarnation, gossip piggybacked on the pings) with the three extensions of Lifeguard (Dadgar, Phillips,
 // Currey, 2018: a local health score, a suspicion timeout that shrinks with the number of confirmations, and
-// a ping that tells a suspect of the suspicion). Comparing digests of whole views (anti-entropy) lets both
+// a ping that reports the suspicion to a suspect). Comparing digests of whole views (anti-entropy) lets both
 // sides of a healed partition converge.
 //
 // States of a member in another member's view, and the transitions:
--- a/fleet/membership_codec.h
+++ b/fleet/membership_codec.h
@@ -32,7 +32,7 @@
   uint64_t incarnation = 0;
   std::string suspected_by;  // only for kSuspect: the member that suspects it
   std::string version;       // only for kAlive: version of its program
-  uint64_t started_ms = 0;   // only for kAlive: start by its own wall clock; also tells two runs apart
+  uint64_t started_ms = 0;   // only for kAlive: start by its own wall clock; also distinguishes two runs
   bool operator==(const Update&) const = default;
 };
 
--- a/fleet/policy_log.h
+++ b/fleet/policy_log.h
@@ -45,7 +45,7 @@
 };
 
 nlohmann::json encode(const Outcome& outcome);
-Outcome decode_outcome(const nlohmann::json& from);  // throws Bad
+Outcome decode_outcome(const nlohmann::json& from);  // throws DecodeError
 
 class PolicyLog {
  public:
@@ -60,9 +60,9 @@
   static std::string abort(const std::string& id, const std::string& relay, const std::string& reason);
   static std::string replace_voter(const std::string& old_voter, const std::string& new_voter);
 
-  void apply(std::string_view command);  // a malformed command changes nothing
+  void apply(std::string_view bytes);  // a malformed command changes nothing
   std::string state() const;
-  void restore(std::string_view state);  // throws Bad
+  void restore(std::string_view bytes);  // from state(); throws DecodeError
 
   uint64_t version() const { return version_; }  // 0: none yet
   const std::string& text() const { return texts_.empty() ? empty_text_ : texts_.back(); }
--- a/fleet/raft_conversion.h
+++ b/fleet/raft_conversion.h
@@ -17,7 +17,7 @@
 
 nlohmann::json encode(const std::vector<Consensus::Server>& servers);
 nlohmann::json encode(const Consensus::PersistentState::Entry& entry);
-std::vector<Consensus::Server> decode_servers(const nlohmann::json& from);   // throws Bad
-Consensus::PersistentState::Entry decode_entry(const nlohmann::json& from);  // throws Bad
+std::vector<Consensus::Server> decode_servers(const nlohmann::json& from);   // throws DecodeError
+Consensus::PersistentState::Entry decode_entry(const nlohmann::json& from);  // throws DecodeError
 
 }  // namespace umberhoist::fleet
--- a/include/firspool/events.h
+++ b/include/firspool/events.h
@@ -113,8 +113,8 @@
   bool operator==(const DestinationSnapshot&) const = default;
 };
 
-struct SettingsChanged {  // replaces the settings; messages already received keep the rules they arrived
-                          // under
+// Replaces the settings; messages already received keep the rules they arrived under.
+struct SettingsChanged {
   Settings settings;
 };
 
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -66,13 +66,13 @@
     if (s_.shutdown_at - s_.now < s_.latency_of(d).suspicious_age()) return;
     Host* host = choose_host(m, d);
     if (host == nullptr || !limits_.may_send_trial(*host)) return;
-    Circuit& l = *host->circuit;
-    const bool scout = limits_.needs_trial(l);
-    const Attempt call{host->member.endpoint, s_.now, ++last_call_, false, scout, connections_.open(*host)};
+    Circuit& circuit = *host->circuit;
+    const bool trial = limits_.needs_trial(circuit);
+    const Attempt call{host->member.endpoint, s_.now, ++last_call_, false, trial, connections_.open(*host)};
     host->send_rate.add(s_.now);
     ++host->calls;
     ++d.calls;
-    limits_.charge(l);
+    limits_.charge(circuit);
     send(m, d, *host, call);
     if (call.trial) return;  // a trial call carries a single message
     // Messages sent to one endpoint in one step may share a call: it takes one slot, counts once against the
@@ -95,11 +95,11 @@
     Host* best = nullptr;
     std::pair<int, double> best_cost;
     const RouteRule best_route = messages_.best_route(m, d);
-    const Circuit* lane = nullptr;  // of the previous host: most hosts share one
+    const Circuit* previous_circuit = nullptr;  // most hosts share one
     Time admitted = 0;
     for (const auto& [endpoint, host] : d.hosts) {
       if (!host->ready() || !messages_.may_use(m, *host, best_route)) continue;
-      if (std::exchange(lane, host->circuit) != host->circuit)
+      if (std::exchange(previous_circuit, host->circuit) != host->circuit)
         admitted = limits_.next_send_at(*host->circuit);
       const Time ready_at = std::max(admitted, messages_.shares_ready_at(m, *host));
       s_.wake(ready_at);
--- a/src/limits.h
+++ b/src/limits.h
@@ -114,7 +114,7 @@
   // When the next call may go to the circuit; kNever: not before an outcome arrives.
   Time next_send_at(Circuit& c) const {
     if (c.wait_until > s_.now) return c.wait_until;
-    // While one trial call has no answer, a second one would tell little and could fill the slots.
+    // While one trial call has no answer, a second would give little information and could fill the slots.
     if (c.trials_in_flight > 0 && needs_trial(c)) return kNever;
     if (c.outage_since != 0) {
       const double rate = recovery_rate(c);
--- a/src/messages.h
+++ b/src/messages.h
@@ -34,9 +34,9 @@
     if (e.resumed) {
       // The random fill of the bucket desynchronizes relays that restart at once. Earlier attempts at the
       // message count as one failure.
-      Circuit& l = s_.circuit({e.destination, Endpoint{}});
-      l.bucket = {seconds(s_.random.between(0, kSecond)), s_.now};
-      l.fail_streak = std::max(l.fail_streak, std::min(e.attempts, 1));
+      Circuit& c = s_.circuit({e.destination, Endpoint{}});
+      c.bucket = {seconds(s_.random.between(0, kSecond)), s_.now};
+      c.fail_streak = std::max(c.fail_streak, std::min(e.attempts, 1));
     }
     if (m.rules->in_order && e.key != 0) key_order_[e.key].push_back(e.id);
     if (m.rules->in_order && e.maybe_executed) key_pauses_[e.key] = {s_.now + s_.settings.order_pause, e.id};
@@ -206,14 +206,14 @@
   // divided evenly among the relays.
   double tenant_value_factor(int tenant) {
     if (tenant < 0 || tenant >= static_cast<int>(s_.settings.tenants.size())) return 1;
-    const BudgetShare& part = s_.shares[{ShareGranted::Scope::kTenant, tenant}];
+    const BudgetShare& share = s_.shares[{ShareGranted::Scope::kTenant, tenant}];
     const double quota =
-        part.has_grant() ? part.per_s : s_.settings.tenants[tenant].quota_per_s / s_.settings.relays;
-    if (quota <= 0) return part.has_grant() ? s_.settings.over_share_value : 1;
-    TokenBucket& pacer = s_.tenant_buckets.try_emplace(tenant, TokenBucket{2 * quota, s_.now}).first->second;
-    pacer.refill(s_.now, quota, std::max(1.0, 2 * quota));
-    if (pacer.tokens < 1) return s_.settings.over_share_value;
-    pacer.tokens -= 1;
+        share.has_grant() ? share.per_s : s_.settings.tenants[tenant].quota_per_s / s_.settings.relays;
+    if (quota <= 0) return share.has_grant() ? s_.settings.over_share_value : 1;
+    TokenBucket& bucket = s_.tenant_buckets.try_emplace(tenant, TokenBucket{2 * quota, s_.now}).first->second;
+    bucket.refill(s_.now, quota, std::max(1.0, 2 * quota));
+    if (bucket.tokens < 1) return s_.settings.over_share_value;
+    bucket.tokens -= 1;
     return 1;
   }
 
--- a/src/outages.h
+++ b/src/outages.h
@@ -34,7 +34,6 @@
   void save_snapshots() {
     for (const int number : std::exchange(s_.changed_destinations, {})) {
       Destination& d = s_.destinations[number];
-
       // The retry budget is rounded down to whole retries, so that not every served call stores a snapshot.
       DestinationSnapshot next{number, d.retry_budget - d.retry_budget % kRetryCost};
       const Circuit& c = s_.circuit({number, Endpoint{}});
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -72,10 +72,10 @@
   }
 
   void learn_outcome(const AttemptEnded& e, const Attempt& attempt, Host& host, Destination& d) {
-    Circuit& l = *host.circuit;
+    Circuit& c = *host.circuit;
     KindEstimates& kind = s_.kinds[d.kind];
-    limits_.apply_report(e, l);
-    connections_.on_ended(e.outcome, attempt, kind, l);
+    limits_.apply_report(e, c);
+    connections_.on_ended(e.outcome, attempt, kind, c);
     const bool ok = e.outcome == Outcome::kOk;
     const bool late = e.outcome == Outcome::kTimeout;
     // The share of calls past the suspicious age that are served after all: slow, not lost.
@@ -85,15 +85,15 @@
         e.outcome == Outcome::kNotSent)
       return;
     if (e.outcome == Outcome::kFull) {
-      if (e.retry_after > 0) limits_.extend_wait(s_.now + e.retry_after, l);
-      if (e.retry_after > 0 && l.follows_reports) l.bucket = limits_.random_bucket(l.wait_until);
-      if (e.retry_after == 0) limits_.on_refused(attempt, l);
+      if (e.retry_after > 0) limits_.extend_wait(s_.now + e.retry_after, c);
+      if (e.retry_after > 0 && c.follows_reports) c.bucket = limits_.random_bucket(c.wait_until);
+      if (e.retry_after == 0) limits_.on_refused(attempt, c);
       const double left = limits_.reported_remaining(e.report);
-      outages_.on_unserved(attempt, l,
-                           left >= kExhaustedShare && l.outage_since == 0 && limits_.rare_caller(l),
+      outages_.on_unserved(attempt, c,
+                           left >= kExhaustedShare && c.outage_since == 0 && limits_.rare_caller(c),
                            e.retry_after);
       // A limit that other relays use up may reject a rare caller for long: that is no outage.
-      if (left >= 0 && left < kExhaustedShare) l.unserved_since = kNever;
+      if (left >= 0 && left < kExhaustedShare) c.unserved_since = kNever;
     } else if (ok) {
       d.retry_budget = std::min(kRetryBudgetCap, d.retry_budget + 1);
       s_.mark_changed(host.member.destination);
@@ -104,15 +104,15 @@
         d.usual_latency.add(seconds(e.took));
       host.fails = 0;
       if (std::exchange(host.avoid_until, 0) != 0) s_.avoided_count_valid = false;
-      limits_.on_served(l);
-      outages_.on_served(attempt, l);
+      limits_.on_served(c);
+      outages_.on_served(attempt, c);
     } else {
       // A lost answer says nothing of the latency: timeouts count only where overdue calls are served after
       // all.
-      if (late && s_.late_success_ratio > kMinLateSuccessRatio && l.last_served_sent_at < attempt.sent_at)
+      if (late && s_.late_success_ratio > kMinLateSuccessRatio && c.last_served_sent_at < attempt.sent_at)
         learn_latency(d, kind, e.took);
       if (e.outcome != Outcome::kError) connections_.avoid(host);
-      outages_.on_unserved(attempt, l, true, 0);
+      outages_.on_unserved(attempt, c, true, 0);
     }
   }
 
--- a/src/refusals.h
+++ b/src/refusals.h
@@ -11,7 +11,7 @@
 constexpr double kUnknownRate = 0;
 // A destination that holds more than this share of max_open is shed from first.
 constexpr double kMaxHeldShare = 0.5;
-// Queues may drain this much faster than the pace says: two rejections in a row cut it too far.
+// Queues may drain this much faster than the pacing rate says: two rejections in a row cut it too far.
 constexpr double kDrainRateMargin = 1 / (kFirstCut * kRepeatedCut);
 
 class Refusals {
@@ -83,9 +83,9 @@
       const Queue initial{kDrainRateMargin * drain_rate(d), s_.share_of(d).deficit()};
       Queue& queue = queues.try_emplace(m.destination, initial).first->second;
       const int limit_id = messages_.best_route(m, d).limit_id;
-      const BudgetShare& part = s_.limit_share(limit_id);  // id -1 has no share, and so no queue
+      const BudgetShare& share = s_.limit_share(limit_id);  // id -1 has no share, and so no queue
       Queue& limit =
-          limits.try_emplace(limit_id, Queue{kDrainRateMargin * part.per_s, part.deficit()}).first->second;
+          limits.try_emplace(limit_id, Queue{kDrainRateMargin * share.per_s, share.deficit()}).first->second;
       const Time starts_at = std::max(s_.now, d.open_at) + std::max(queue.delay(), limit.delay());
       if (messages_.owes_attempt(m) || starts_at < messages_.latest_start(m, d)) {
         ++queue.ahead;
@@ -139,20 +139,20 @@
   // Calls a second at which a queue may drain, without regard to short disturbances. kUnknownRate in an
   // outage.
   double drain_rate(const Destination& d) const {
-    double paces = 0;
+    double pacing_rate = 0;
     for (const auto& [endpoint, host] : d.hosts) {
-      const Circuit& l = *host->circuit;
-      if (l.outage_since != 0) return kUnknownRate;
-      if (!host->ready() || paces < 0) continue;
-      if (l.own_pacing_rate() == 0) paces = -1;  // no limit is known there
-      const double pace = std::max(l.pacing_rate, l.restore_rate);
-      if (l.own_pacing_rate() > 0) paces = l.key.second == Endpoint{} ? pace : paces + pace;
+      const Circuit& c = *host->circuit;
+      if (c.outage_since != 0) return kUnknownRate;
+      if (!host->ready() || pacing_rate < 0) continue;
+      if (c.own_pacing_rate() == 0) pacing_rate = -1;  // no limit is known there
+      const double rate = std::max(c.pacing_rate, c.restore_rate);
+      if (c.own_pacing_rate() > 0) pacing_rate = c.key.second == Endpoint{} ? rate : pacing_rate + rate;
     }
-    const double part = s_.share_of(d).per_s;
-    if (part >= 0) paces = paces > 0 ? std::min(paces, part) : part;
-    if (d.usual_latency.samples == 0) return paces > 0 ? paces : kUnknownRate;
+    const double share = s_.share_of(d).per_s;
+    if (share >= 0) pacing_rate = pacing_rate > 0 ? std::min(pacing_rate, share) : share;
+    if (d.usual_latency.samples == 0) return pacing_rate > 0 ? pacing_rate : kUnknownRate;
     const double slots = s_.settings.max_in_flight / std::max(1e-6, d.usual_latency.mean);
-    return paces > 0 ? std::min(paces, slots) : slots;
+    return pacing_rate > 0 ? std::min(pacing_rate, slots) : slots;
   }
 
   State& s_;
--- a/src/state.h
+++ b/src/state.h
@@ -124,7 +124,7 @@
   int kind = 0, calls = 0;  // calls: in flight
   std::set<std::pair<int, int>> listed_zone_kinds;  // every zone and kind of an endpoint ever listed
   int retry_budget = kRetryBudgetCap;               // in units, see kRetryCost
-  DestinationSnapshot saved{0, kRetryBudgetCap};    // what the caller was last told to store
+  DestinationSnapshot saved{0, kRetryBudgetCap};    // last stored by the caller
   Latency latency, usual_latency;  // usual_latency: without outliers, the reference for the slot share
 };
 
--- a/tests/policy_routes_test.cpp
+++ b/tests/policy_routes_test.cpp
@@ -10,10 +10,9 @@
 
 constexpr RouteRule kDeny{false, 0, -1}, kAllow{true, 0, -1}, kFallback{true, 1, -1}, kLimit{true, 0, 3};
 
-std::shared_ptr<const RouteTable> routes(
-    std::vector<RouteRule> zones) {  // the same rule for both kinds of each zone
+std::shared_ptr<const RouteTable> routes(std::vector<RouteRule> zones) {  // one rule for both kinds of a zone
   RouteTable out{2, {}};
-  for (const RouteRule& way : zones) out.rules.insert(out.rules.end(), {way, way});
+  for (const RouteRule& rule : zones) out.rules.insert(out.rules.end(), {rule, rule});
   return std::make_shared<const RouteTable>(out);
 }
 
@@ -158,9 +157,9 @@
         events.push_back(due.begin()->second);
       for (const Send& send : all_of<Send>(relay.step(now, events))) {
         const Member& m = list[send.endpoint.address];
-        const RouteRule way = sent[send.id].routes->rule_for(m.zone, m.kind);
-        EXPECT_TRUE(way.allowed);
-        if (way.limit_id >= 0) limited.push_back(now);
+        const RouteRule rule = sent[send.id].routes->rule_for(m.zone, m.kind);
+        EXPECT_TRUE(rule.allowed);
+        if (rule.limit_id >= 0) limited.push_back(now);
         if (m.destination == 1 && now > 5 * kSecond) to_first.push_back(now);
         const int answer = below(10);
         due.emplace(now + 50'000 + below(400'000),
@@ -183,15 +182,14 @@
 }
 
 TEST(BudgetShares, ASmallerShareCapsTheSavedTokens) {
-  for (const double next : {10.0, 3.0, 0.0, -1.0}) {
+  for (const double cap : {10.0, 3.0, 0.0, -1.0}) {
     Settings s = plain_settings();
     s.max_in_flight = 50;
     Relay relay(s);
-    std::vector<Event> events = {grant(next)};
+    std::vector<Event> events = {grant(cap)};
     relay.step(0, {members({member(1)}), grant(10)});
     for (uint64_t id = 1; id <= 20; ++id) events.push_back(relay.message(id, 5 * kSecond));
-    EXPECT_EQ(all_of<Send>(relay.step(5 * kSecond, events)).size(),
-              next < 0 ? 20u : static_cast<size_t>(next));
+    EXPECT_EQ(all_of<Send>(relay.step(5 * kSecond, events)).size(), cap < 0 ? 20u : static_cast<size_t>(cap));
   }
 }
 
@@ -199,19 +197,17 @@
 TEST(BudgetShares, AMessageIsSentOnceItsTokenIsAvailable) {
   for (const bool limit : {false, true}) {
     Relay relay(retry_settings());
-    const auto granted = [&](double r) {
-      return limit ? grant(r, ShareGranted::Scope::kLimit, 3) : grant(r);
-    };
+    const auto share = [&](double r) { return limit ? grant(r, ShareGranted::Scope::kLimit, 3) : grant(r); };
     std::vector<Event> events = {members({member(1)}), message(relay, 1, 0, {limit ? kLimit : kAllow})};
-    if (!limit) events.push_back(granted(0));  // a limit passes nothing before its first grant
+    if (!limit) events.push_back(share(0));  // a limit passes nothing before its first grant
     EXPECT_TRUE(all_of<Send>(relay.step(0, events)).empty());
     EXPECT_TRUE(all_of<Send>(relay.idle(kSecond, 2 * kSecond)).empty());
-    const auto timers = all_of<SetTimer>(relay.step(2 * kSecond, {granted(0.5)}));
+    const auto timers = all_of<SetTimer>(relay.step(2 * kSecond, {share(0.5)}));
     ASSERT_EQ(timers.size(), 1u);
     EXPECT_EQ(timers[0].at, 4 * kSecond);
     const auto sends = all_of<Send>(relay.step(timers[0].at, {TimerFired{timers[0].token}}));
     ASSERT_EQ(sends.size(), 1u);
-    relay.step(5 * kSecond, {ended(sends[0], 0, Outcome::kOk), granted(0),
+    relay.step(5 * kSecond, {ended(sends[0], 0, Outcome::kOk), share(0),
                              message(relay, 2, 5 * kSecond, {limit ? kLimit : kAllow})});
     const auto done = relay.idle(6 * kSecond, 26 * kSecond);
     EXPECT_TRUE(all_of<Send>(done).empty());
